--- a/internal/state/hgturn/doc.go
+++ b/internal/state/hgturn/doc.go
@@ -1,2 +1,2 @@
-// Package hgturn keeps the turns of a program as a tree, in which several turns may continue the same one.
+// Package hgturn represents the turns of a program as a tree, and returns the history that leads to a turn.
 package hgturn
--- a/internal/state/hgturn/tree.go
+++ b/internal/state/hgturn/tree.go
@@ -2,20 +2,23 @@
 
 import "slices"
 
-// Turn is a turn that ended whole.
+// Turn is a turn whose whole answer has been received. It is stored encoded, so its field names must not change.
 type Turn struct {
-	// ID is the attempt that ran the turn; Previous is the turn that it continues, or empty.
+	// ID identifies the attempt that ran the turn; Previous identifies the turn that it continues, and is empty for a
+	// first turn.
 	ID       string
 	Previous string
-	// Input is what the caller sent, and Output the data of the events that it got, each with a line feed.
+	// Input is the body of the caller's request. Output is the data of the events of the answer, each followed by a
+	// line feed.
 	Input  []byte
 	Output []byte
 }
 
-// Tree is the turns of a program, by identifier.
+// Tree maps identifiers to the turns of a program. Several turns may continue the same turn, as branches.
 type Tree map[string]Turn
 
-// Path returns a turn and its ancestors, the oldest first, or the identifier of one of them that is not in the tree.
+// Path returns a turn and its ancestors, the oldest first. If the turn or an ancestor is not in the tree, it returns
+// that identifier as missing; a cycle of turns counts as missing, too.
 func (t Tree) Path(id string) (path []Turn, missing string) {
 	for id != "" {
 		turn, ok := t[id]
@@ -29,7 +32,7 @@
 	return path, ""
 }
 
-// Text returns what was said in a path.
+// Text joins the inputs and outputs of the turns of a path, in order.
 func Text(path []Turn) []byte {
 	n := 0
 	for _, t := range path {
--- a/internal/state/hgturn/tree_test.go
+++ b/internal/state/hgturn/tree_test.go
@@ -28,7 +28,7 @@
 			path, missing := tree.Path(tt.id)
 			if name == "never a cycle" {
 				if missing == "" {
-					t.Error("a cycle is a path")
+					t.Error("no identifier reported missing for a cycle of turns")
 				}
 				return
 			}
