--- a/internal/state/hgaccount/account.go
+++ b/internal/state/hgaccount/account.go
@@ -1,82 +1,88 @@
 package hgaccount
 
-// Account is one node's view of a program's budget, in tokens; it is a value. Each node that serves the program takes a
-// part of the budget in the program's durable row, and spends it without further writes.
+// Account is one node's view of a program's budget, in tokens. Each node that serves the program claims a share of the
+// budget in the program's durable row and spends that share without further writes. An Account is a value: its methods
+// return the changed account.
 type Account struct {
-	// Others is what all other nodes have taken; of nodes that are gone it may be unspent, but nobody can tell.
+	// Others is the sum of the shares that all other nodes have claimed. The share of a node that has died may be
+	// unspent, which no other node can tell.
 	Others int
-	// Mine is what this node has taken.
+	// Mine is the share that this node has claimed.
 	Mine int
-	// Used is what callers got through this node, and Open what its open turns may still generate.
+	// Used counts the tokens delivered to callers through this node; Open is the sum of the reservations of its open
+	// turns.
 	Used, Open int
-	// Strict says that more may have been taken than is known, so that nothing is granted on what others may not have used.
+	// Strict is set if nodes may have claimed more than is known. No turn is then granted on the assumption that other
+	// nodes have not used their shares.
 	Strict bool
-	// Closed says that the budget was found to be spent for good.
+	// Closed is set if the budget is permanently exhausted.
 	Closed bool
 }
 
 // Grant is the decision on a reservation.
 type Grant struct {
-	// Account is the account after the reservation, if it is granted.
+	// Account is the account after the reservation; it is unchanged if the reservation is refused.
 	Account Account
-	// Durable says that Mine has grown, so that the row has to be written before a token is handed out.
-	Durable bool
-	// Spent says that the budget does not hold the turn with all open ones at their most.
+	// NeedsWrite is set if Mine has grown: the row has to be written before any token is delivered.
+	NeedsWrite bool
+	// Spent is set if the reservation is refused: the budget cannot hold the turn beside the reservations of all open
+	// turns.
 	Spent bool
 }
 
-// Left returns what this node has taken and neither spent nor lent to an open turn.
-func (a Account) Left() int { return a.Mine - a.Used - a.Open }
+// Available returns the part of this node's share that is neither used nor reserved by an open turn.
+func (a Account) Available() int { return a.Mine - a.Used - a.Open }
 
-// Reserve takes the most that a turn generates. Half of the rest of the budget is taken with it and serves the next
-// turns without a write.
+// Reserve reserves maxTokens, the maximum output of a turn. If the node's share is too small, it also claims half of
+// the unclaimed budget, so that the next turns need no write.
 //
-// What others have taken may be unspent. If the turn fits without it, it is granted as long as the budget is not
-// exceeded by more than this turn even if all of it is spent.
-func (a Account) Reserve(budget, most int) Grant {
+// Other nodes may not have used their shares. A turn that fits only if they have not is granted as long as the budget
+// is exceeded by no more than this turn in case they have.
+func (a Account) Reserve(budget, maxTokens int) Grant {
 	if a.Closed {
 		return Grant{Account: a, Spent: true}
 	}
-	if a.Left() >= most {
-		a.Open += most
+	if a.Available() >= maxTokens {
+		a.Open += maxTokens
 		return Grant{Account: a}
 	}
 	own := a.Used + a.Open
-	rest := budget - a.Others - own - most
+	rest := budget - a.Others - own - maxTokens
 	certain := rest >= 0
-	possible := !a.Strict && a.Others > 0 && own+most <= budget && a.Others+own <= budget
+	possible := !a.Strict && a.Others > 0 && own+maxTokens <= budget && a.Others+own <= budget
 	if !certain && !possible {
 		return Grant{Account: a, Spent: true}
 	}
-	a.Open += most
-	a.Mine = max(a.Mine, own+most+max(rest, 0)/2)
-	return Grant{Account: a, Durable: true}
+	a.Open += maxTokens
+	a.Mine = max(a.Mine, own+maxTokens+max(rest, 0)/2)
+	return Grant{Account: a, NeedsWrite: true}
 }
 
-// IsBeyond says whether a grant may exceed the budget, if others have used all that they have taken.
-func (a Account) IsBeyond(g Grant, budget int) bool {
-	return !g.Spent && g.Durable && g.Account.Mine+a.Others > budget
+// MayOverrun reports whether a grant exceeds the budget in case all other nodes have used their whole shares.
+func (a Account) MayOverrun(g Grant, budget int) bool {
+	return !g.Spent && g.NeedsWrite && g.Account.Mine+a.Others > budget
 }
 
-// SpentForGood says whether no turn fits any more, whatever becomes of open ones and of what other nodes have taken.
-func (a Account) SpentForGood(budget, most int) bool {
-	return !a.Closed && a.Others == 0 && a.Open == 0 && a.Used+most > budget
+// IsExhausted reports whether a turn of maxTokens can never fit again: no other node holds a share and no turn is open,
+// so that nothing can be returned. It is false for an account that is closed already.
+func (a Account) IsExhausted(budget, maxTokens int) bool {
+	return !a.Closed && a.Others == 0 && a.Open == 0 && a.Used+maxTokens > budget
 }
 
-// Settle closes a turn of which callers got some tokens.
-func (a Account) Settle(most, used int) Account {
-	a.Open -= most
+// Settle replaces a turn's reservation by the tokens that were delivered to the caller.
+func (a Account) Settle(reserved, used int) Account {
+	a.Open -= reserved
 	a.Used += used
 	return a
 }
 
-// Return gives back what is left; the row has to be written.
-func (a Account) Return() Account {
+// ReturnUnused reduces the node's share to what is used or reserved. The caller has to write the row.
+func (a Account) ReturnUnused() Account {
 	a.Mine = min(a.Mine, a.Used+a.Open)
 	return a
 }
 
-// Reload replaces the durable part by that of the row.
+// Reload replaces the durable fields by those of the row.
 func (a Account) Reload(others, mine int, strict, closed bool) Account {
 	a.Others, a.Mine, a.Strict, a.Closed = others, mine, strict, closed
 	return a
--- a/internal/state/hgaccount/account_test.go
+++ b/internal/state/hgaccount/account_test.go
@@ -14,15 +14,15 @@
 		have account
 		want hgaccount.Grant
 	}{
-		"first turn takes half of the rest": {account{}, hgaccount.Grant{Account: account{Mine: 550, Open: 100}, Durable: true}},
-		"what is left serves the next":      {account{Mine: 550, Used: 50}, hgaccount.Grant{Account: account{Mine: 550, Used: 50, Open: 100}}},
-		"last turn takes all":               {account{Mine: 900, Used: 900}, hgaccount.Grant{Account: account{Mine: 1000, Used: 900, Open: 100}, Durable: true}},
-		"open turns count at their most":    {account{Mine: 950, Used: 500, Open: 401}, hgaccount.Grant{Account: account{Mine: 950, Used: 500, Open: 401}, Spent: true}},
-		"others leave room":                 {account{Others: 500}, hgaccount.Grant{Account: account{Others: 500, Mine: 300, Open: 100}, Durable: true}},
-		"others may not have used theirs":   {account{Others: 950}, hgaccount.Grant{Account: account{Others: 950, Mine: 100, Open: 100}, Durable: true}},
-		"but that is granted once":          {account{Others: 950, Mine: 100, Used: 100}, hgaccount.Grant{Account: account{Others: 950, Mine: 100, Used: 100}, Spent: true}},
-		"and not if more may be out":        {account{Others: 950, Strict: true}, hgaccount.Grant{Account: account{Others: 950, Strict: true}, Spent: true}},
-		"closed":                            {account{Closed: true, Mine: 500}, hgaccount.Grant{Account: account{Closed: true, Mine: 500}, Spent: true}},
+		"first turn takes half of the rest":   {account{}, hgaccount.Grant{Account: account{Mine: 550, Open: 100}, NeedsWrite: true}},
+		"what is left serves the next":        {account{Mine: 550, Used: 50}, hgaccount.Grant{Account: account{Mine: 550, Used: 50, Open: 100}}},
+		"last turn takes all":                 {account{Mine: 900, Used: 900}, hgaccount.Grant{Account: account{Mine: 1000, Used: 900, Open: 100}, NeedsWrite: true}},
+		"open turns count at their maximum":   {account{Mine: 950, Used: 500, Open: 401}, hgaccount.Grant{Account: account{Mine: 950, Used: 500, Open: 401}, Spent: true}},
+		"others leave room":                   {account{Others: 500}, hgaccount.Grant{Account: account{Others: 500, Mine: 300, Open: 100}, NeedsWrite: true}},
+		"others may not have used theirs":     {account{Others: 950}, hgaccount.Grant{Account: account{Others: 950, Mine: 100, Open: 100}, NeedsWrite: true}},
+		"others' unused tokens granted once":  {account{Others: 950, Mine: 100, Used: 100}, hgaccount.Grant{Account: account{Others: 950, Mine: 100, Used: 100}, Spent: true}},
+		"no grant on unused tokens if strict": {account{Others: 950, Strict: true}, hgaccount.Grant{Account: account{Others: 950, Strict: true}, Spent: true}},
+		"closed":                              {account{Closed: true, Mine: 500}, hgaccount.Grant{Account: account{Closed: true, Mine: 500}, Spent: true}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/state/hgaccount/doc.go
+++ b/internal/state/hgaccount/doc.go
@@ -1,2 +1,2 @@
-// Package hgaccount decides how many tokens a program may still generate, over all nodes that charge its budget.
+// Package hgaccount implements the arithmetic of a program's token budget, which several nodes charge concurrently.
 package hgaccount
--- a/internal/state/hgaccount/model_test.go
+++ b/internal/state/hgaccount/model_test.go
@@ -6,159 +6,164 @@
 	"hyssopgrade/internal/state/hgaccount"
 )
 
-// The model of the budget: ledgers that serve one program over one row with a version, explored over all interleavings of
-// a small bound, with writes whose answers are lost, writes that take effect late, and ledgers that die.
+// A bounded model checker for the budget: several ledgers serve one program through one versioned row. All
+// interleavings up to a small bound are explored, with writes whose replies are lost, writes that are applied late and
+// ledgers that crash.
 const (
-	modelBudget = 5
-	modelMost   = 2
-	// ledgers is the number of ledgers, each of which dies at most once and is not replaced.
-	ledgers = 2
+	modelBudget    = 5
+	modelMaxTokens = 2
+	// numLedgers is the number of ledgers. Each crashes at most once and is not replaced.
+	numLedgers = 2
 	// maxOpen bounds the open turns of a ledger, maxSteps the length of a history.
 	maxOpen  = 2
 	maxSteps = 8
 )
 
-// row is the program's row, also as a ledger knows it.
+// row is the program's row, in the store or as a ledger last read it.
 type row struct {
 	version int
-	taken   [ledgers]int
+	claimed [numLedgers]int
 	closed  bool
 }
 
 type ledger struct {
-	dead, known bool
-	row         row
-	account     hgaccount.Account
-	open        int
+	// rowKnown is set if row is the result of the last read or write.
+	crashed, rowKnown bool
+	row               row
+	account           hgaccount.Account
+	open              int
 }
 
-// late is a write that may take effect later, if the row is then still as it was.
-type late struct {
-	pending bool
-	at      int
-	row     row
+// delayedWrite is a write without a reply that may be applied later, if the row still has the expected version then.
+type delayedWrite struct {
+	pending  bool
+	expected int
+	row      row
 }
 
-type world struct {
+// state is one state of the model.
+type state struct {
 	row     row
-	late    late
-	ledgers [ledgers]ledger
-	// orphans are open turns of ledgers that died; their callers may still get all tokens.
+	delayed delayedWrite
+	ledgers [numLedgers]ledger
+	// orphans counts open turns of crashed ledgers; their callers may still get all tokens.
 	orphans int
-	// handed is what callers got.
-	handed int
+	// delivered counts the tokens that callers got.
+	delivered int
 }
 
-// guards can be taken out, to see that the model finds it.
+// guards are the safeguards of the budget: writes are conditional on the row's version, turns are settled at their used
+// tokens, and the shares of other ledgers count. A disabled guard shows whether the model detects its absence.
 type guards struct{ versions, settles, others bool }
 
 func (g guards) reload(l *ledger, i int, r row) {
 	others := 0
-	for j, taken := range r.taken {
+	for j, claimed := range r.claimed {
 		if j != i {
-			others += taken
+			others += claimed
 		}
 	}
 	if !g.others {
 		others = 0
 	}
-	l.row, l.known = r, true
-	l.account = l.account.Reload(others, r.taken[i], false, r.closed)
+	l.row, l.rowKnown = r, true
+	l.account = l.account.Reload(others, r.claimed[i], false, r.closed)
 }
 
-// open returns the worlds after a ledger was asked for a turn: granted, or not, or with a write whose answer is lost.
-func (g guards) open(w world, i int) (next []world) {
-	l := &w.ledgers[i]
-	if !l.known {
-		g.reload(l, i, w.row)
+// open returns the states after ledger i was asked for a turn: granted, refused, or with a write whose reply is lost.
+func (g guards) open(s state, i int) (next []state) {
+	l := &s.ledgers[i]
+	if !l.rowKnown {
+		g.reload(l, i, s.row)
 	}
-	grant := l.account.Reserve(modelBudget, modelMost)
+	grant := l.account.Reserve(modelBudget, modelMaxTokens)
 	switch {
 	case grant.Spent:
-		g.reload(l, i, w.row)
-		return []world{w}
-	case !grant.Durable:
+		g.reload(l, i, s.row)
+		return []state{s}
+	case !grant.NeedsWrite:
 		l.account = grant.Account
 		l.open++
-		return []world{w}
+		return []state{s}
 	}
 	written := l.row
-	written.taken[i] = grant.Account.Mine
-	if g.versions && w.row.version != l.row.version {
-		g.reload(l, i, w.row)
-		return []world{w}
+	written.claimed[i] = grant.Account.Mine
+	if g.versions && s.row.version != l.row.version {
+		g.reload(l, i, s.row)
+		return []state{s}
 	}
-	lost := w
-	lost.ledgers[i].known = false
-	lost.late = late{pending: true, at: l.row.version, row: written}
-	w = w.write(written)
-	unanswered := w
-	unanswered.ledgers[i].known = false
-	l = &w.ledgers[i]
-	g.reload(l, i, w.row)
-	l.account.Open += modelMost
+	lost := s
+	lost.ledgers[i].rowKnown = false
+	lost.delayed = delayedWrite{pending: true, expected: l.row.version, row: written}
+	s = s.write(written)
+	unanswered := s
+	unanswered.ledgers[i].rowKnown = false
+	l = &s.ledgers[i]
+	g.reload(l, i, s.row)
+	l.account.Open += modelMaxTokens
 	l.open++
-	return []world{w, lost, unanswered}
+	return []state{s, lost, unanswered}
 }
 
-func (w world) write(r row) world {
-	r.version = w.row.version + 1
-	w.row = r
-	return w
+func (s state) write(r row) state {
+	r.version = s.row.version + 1
+	s.row = r
+	return s
 }
 
-// next returns all worlds that may follow.
-func (g guards) next(w world) (next []world) {
-	if w.late.pending {
-		gone := w
-		gone.late = late{}
-		next = append(next, gone)
-		if !g.versions || w.late.at == w.row.version {
-			next = append(next, gone.write(w.late.row))
+// successors returns all states that may follow s.
+func (g guards) successors(s state) (next []state) {
+	if s.delayed.pending {
+		dropped := s
+		dropped.delayed = delayedWrite{}
+		next = append(next, dropped)
+		if !g.versions || s.delayed.expected == s.row.version {
+			next = append(next, dropped.write(s.delayed.row))
 		}
 	}
-	if w.orphans > 0 {
-		w := w
-		w.orphans--
-		w.handed += modelMost
-		next = append(next, w)
+	if s.orphans > 0 {
+		s := s
+		s.orphans--
+		s.delivered += modelMaxTokens
+		next = append(next, s)
 	}
-	for i := range w.ledgers {
-		next = append(next, g.step(w, i)...)
+	for i := range s.ledgers {
+		next = append(next, g.step(s, i)...)
 	}
 	return next
 }
 
-// step returns the worlds after something happened at a ledger.
-func (g guards) step(w world, i int) (next []world) {
-	if w.ledgers[i].dead {
+// step returns the states after one event at ledger i: a turn is opened or settled, the ledger crashes, or it returns
+// the unused part of its share.
+func (g guards) step(s state, i int) (next []state) {
+	if s.ledgers[i].crashed {
 		return nil
 	}
-	if w.ledgers[i].open < maxOpen {
-		next = g.open(w, i)
+	if s.ledgers[i].open < maxOpen {
+		next = g.open(s, i)
 	}
-	if w.ledgers[i].open > 0 {
-		for _, used := range []int{0, 1, modelMost} {
-			w := w
-			w.handed += used
-			w.ledgers[i].open--
+	if s.ledgers[i].open > 0 {
+		for _, used := range []int{0, 1, modelMaxTokens} {
+			s := s
+			s.delivered += used
+			s.ledgers[i].open--
 			if g.settles {
-				w.ledgers[i].account = w.ledgers[i].account.Settle(modelMost, used)
+				s.ledgers[i].account = s.ledgers[i].account.Settle(modelMaxTokens, used)
 			} else {
-				w.ledgers[i].account = w.ledgers[i].account.Settle(modelMost, 0)
+				s.ledgers[i].account = s.ledgers[i].account.Settle(modelMaxTokens, 0)
 			}
-			next = append(next, w)
+			next = append(next, s)
 		}
 	}
-	dead := w
-	dead.orphans += w.ledgers[i].open
-	dead.ledgers[i] = ledger{dead: true}
-	next = append(next, dead)
-	if l := w.ledgers[i]; l.known && l.account.Left() > 0 && l.row.version == w.row.version {
-		returned := w
-		l.account = l.account.Return()
+	crash := s
+	crash.orphans += s.ledgers[i].open
+	crash.ledgers[i] = ledger{crashed: true}
+	next = append(next, crash)
+	if l := s.ledgers[i]; l.rowKnown && l.account.Available() > 0 && l.row.version == s.row.version {
+		returned := s
+		l.account = l.account.ReturnUnused()
 		written := l.row
-		written.taken[i] = l.account.Mine
+		written.claimed[i] = l.account.Mine
 		returned.ledgers[i] = l
 		returned = returned.write(written)
 		g.reload(&returned.ledgers[i], i, returned.row)
@@ -167,35 +172,36 @@
 	return next
 }
 
-// explore returns the number of worlds, and the history to the first one in which callers got too much.
-func (g guards) explore() (worlds int, history []world) {
-	from := map[world]world{{}: {}}
-	front := []world{{}}
+// explore returns the number of states reached, and the history that leads to the first one in which callers got too
+// many tokens.
+func (g guards) explore() (states int, history []state) {
+	predecessor := map[state]state{{}: {}}
+	frontier := []state{{}}
 	for range maxSteps {
-		var reached []world
-		for _, w := range front {
-			for _, n := range g.next(w) {
-				if _, ok := from[n]; ok {
+		var reached []state
+		for _, s := range frontier {
+			for _, n := range g.successors(s) {
+				if _, ok := predecessor[n]; ok {
 					continue
 				}
-				from[n] = w
-				if n.handed > modelBudget+modelMost {
-					for n != (world{}) {
-						history = append([]world{n}, history...)
-						n = from[n]
+				predecessor[n] = s
+				if n.delivered > modelBudget+modelMaxTokens {
+					for n != (state{}) {
+						history = append([]state{n}, history...)
+						n = predecessor[n]
 					}
-					return len(from), history
+					return len(predecessor), history
 				}
 				reached = append(reached, n)
 			}
 		}
-		front = reached
+		frontier = reached
 	}
-	return len(from), nil
+	return len(predecessor), nil
 }
 
-// Callers never get more than the budget and one turn's most, whatever becomes of ledgers and writes; without each guard
-// the exploration finds a history in which they do.
+// Callers never get more than the budget plus the maximum of one turn, whatever happens to ledgers and writes. With any
+// one guard disabled, the model finds a history in which they do.
 func TestModel(t *testing.T) {
 	tests := map[string]struct {
 		guards guards
@@ -204,17 +210,17 @@
 		"all guards":                       {guards{versions: true, settles: true, others: true}, true},
 		"writes without the row's version": {guards{settles: true, others: true}, false},
 		"turns settled at nothing":         {guards{versions: true, others: true}, false},
-		"others' parts not counted":        {guards{versions: true, settles: true}, false},
+		"shares of others not counted":     {guards{versions: true, settles: true}, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			worlds, history := tt.guards.explore()
-			t.Logf("%d worlds", worlds)
+			states, history := tt.guards.explore()
+			t.Logf("%d states", states)
 			if (history == nil) == tt.holds {
 				return
 			}
-			for i, w := range history {
-				t.Logf("%d: %+v", i, w)
+			for i, s := range history {
+				t.Logf("%d: %+v", i, s)
 			}
 			t.Errorf("holds: %v, want %v", history == nil, tt.holds)
 		})
--- a/internal/state/hgledger/cache.go
+++ b/internal/state/hgledger/cache.go
@@ -2,11 +2,11 @@
 
 import "hyssopgrade/internal/serve/hgattempt"
 
-// cache is what the replicas are believed to keep of a program's prompts: tokens by part and replica.
-type cache map[string]map[string]int
+// cachedPrompts estimates the tokens of a program's prompts that replicas have cached, by prompt part and replica.
+type cachedPrompts map[string]map[string]int
 
-// read notes that a replica has read a prompt and generated some tokens, which lengthen its last part.
-func (c cache) read(replica string, prompt []hgattempt.Part, generated int) {
+// add records that a replica has processed a prompt and generated some tokens, which extend the prompt's last part.
+func (c cachedPrompts) add(replica string, prompt []hgattempt.Part, generated int) {
 	for i, part := range prompt {
 		tokens := part.Tokens
 		if i == len(prompt)-1 {
@@ -19,12 +19,13 @@
 	}
 }
 
-// kept returns how many tokens of a prompt each replica need not read again: a part counts if all before it are kept.
-func (c cache) kept(prompt []hgattempt.Part) map[string]int {
+// tokens returns how many tokens of a prompt each replica has cached. A part counts only if all parts before it are
+// cached.
+func (c cachedPrompts) tokens(prompt []hgattempt.Part) map[string]int {
 	sum := map[string]int{}
 	for i, part := range prompt {
 		for replica, tokens := range c[part.ID] {
-			if i > 0 && sum[replica] < before(prompt, i) {
+			if i > 0 && sum[replica] < tokensBefore(prompt, i) {
 				continue
 			}
 			sum[replica] += min(tokens, part.Tokens)
@@ -33,8 +34,8 @@
 	return sum
 }
 
-// before returns the tokens of the parts before one.
-func before(prompt []hgattempt.Part, i int) (n int) {
+// tokensBefore returns the number of tokens in the parts before the part with index i.
+func tokensBefore(prompt []hgattempt.Part, i int) (n int) {
 	for _, part := range prompt[:i] {
 		n += part.Tokens
 	}
--- a/internal/state/hgledger/committer.go
+++ b/internal/state/hgledger/committer.go
@@ -11,92 +11,97 @@
 )
 
 const (
-	// maxEntries and maxBytes bound a transaction; the store takes 100 entries and 1 MB of text.
+	// maxEntries and maxBytes bound a transaction. The store accepts up to 100 entries and 1 MB of text.
 	maxEntries = 90
 	maxBytes   = 600_000
-	// maxDoublings bounds the pause between tries while the store fails.
+	// maxDoublings bounds the exponential backoff while the store fails.
 	maxDoublings = 3
 )
 
-// item is a change that is applied whole. It may be sent several times: its conditions, or the sameness of what it
-// puts, make a second time harmless.
-type item struct {
+// change is a set of writes that are applied atomically. It may be sent several times, so it has to be idempotent:
+// either its conditions fail the second time, or it writes the same values again.
+type change struct {
 	conditions []hgstore.Condition
 	puts       []hgstore.Put
 	ctx        context.Context
 	done       chan outcome
 }
 
+// outcome is the result of a change: the version of the rows that it wrote, or an error.
 type outcome struct {
 	version uint64
 	err     error
 }
 
-func (i item) bytes() (n int) {
-	for _, p := range i.puts {
+// bytes returns the size of the values that the change writes.
+func (ch change) bytes() (n int) {
+	for _, p := range ch.puts {
 		n += len(p.Value)
 	}
 	return n
 }
 
-// committer joins the changes that arrive while a transaction of their part is under way into the next one.
+// committer batches changes: those that arrive while a transaction of their partition is in flight share the next one.
 type committer struct {
 	table hgstore.Table
 	opts  options
 
 	mu      sync.Mutex
-	waiting [parts][]item
-	busy    [parts]bool
-	// failures counts the transactions of a part that failed in a row, and failed is when the last of them did.
-	failures [parts]int
-	failed   [parts]time.Time
-	// usual is what transactions took lately.
-	usual time.Duration
+	waiting [numPartitions][]change
+	running [numPartitions]bool
+	// failures counts the consecutive failures of a partition's transactions; a failure without a reply counts twice.
+	// lastFailure is the time of the last one.
+	failures    [numPartitions]int
+	lastFailure [numPartitions]time.Time
+	// duration is the moving average of the duration of transactions.
+	duration time.Duration
 }
 
-// usualWeight is the weight of a new observation in what transactions take.
-const usualWeight = 0.2
+// durationWeight is the weight of a new observation in the moving average of the duration of transactions.
+const durationWeight = 0.2
 
-// usually returns what transactions took lately.
-func (c *committer) usually() time.Duration {
+// averageDuration returns the moving average of the duration of transactions.
+func (c *committer) averageDuration() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.usual
+	return c.duration
 }
 
 const (
-	// downFailures is the number of failures in a row after which a part counts as out of reach.
-	downFailures = 2
-	// commitTime bounds a transaction, which takes a few hundred milliseconds in a slow store; a failure after
-	// silentTime counts twice.
-	commitTime = 700 * time.Millisecond
-	silentTime = 500 * time.Millisecond
-	// downFor is how long that lasts until the part is tried again.
-	downFor = 700 * time.Millisecond
+	// unreachableAfter is the number of consecutive failures after which a partition counts as unreachable.
+	unreachableAfter = 2
+	// commitTimeout bounds a transaction, which takes a few hundred milliseconds in a slow store. A failure that took
+	// at least noReplyTime counts twice.
+	commitTimeout = 700 * time.Millisecond
+	noReplyTime   = 500 * time.Millisecond
+	// probeAfter is the time after the last failure for which a partition counts as unreachable. Then it is tried
+	// again.
+	probeAfter = 700 * time.Millisecond
 )
 
-// isDown says whether a part of the store is out of reach.
-func (c *committer) isDown(part int) bool {
+// isUnreachable reports whether a partition of the store counts as unreachable.
+func (c *committer) isUnreachable(partition int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failures[part] >= downFailures && time.Since(c.failed[part]) < downFor
+	return c.failures[partition] >= unreachableAfter && time.Since(c.lastFailure[partition]) < probeAfter
 }
 
-// ended notes whether a transaction was decided, and returns the failures before it.
-func (c *committer) ended(part int, decided bool, took time.Duration) (failures int) {
+// record records the end of a transaction: decided means that it was applied or refused by a condition, not that it
+// failed. It returns the number of consecutive failures before it.
+func (c *committer) record(partition int, decided bool, took time.Duration) (failures int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	failures = c.failures[part]
+	failures = c.failures[partition]
 	if decided {
-		c.failures[part] = 0
-		c.usual += time.Duration(usualWeight * float64(took-c.usual))
+		c.failures[partition] = 0
+		c.duration += time.Duration(durationWeight * float64(took-c.duration))
 		return failures
 	}
-	c.failures[part]++
-	if took >= silentTime {
-		c.failures[part]++
+	c.failures[partition]++
+	if took >= noReplyTime {
+		c.failures[partition]++
 	}
-	c.failed[part] = time.Now()
+	c.lastFailure[partition] = time.Now()
 	return failures
 }
 
@@ -104,119 +109,125 @@
 	return &committer{table: table, opts: o}
 }
 
-// do applies a change and returns the version of its rows.
-func (c *committer) do(ctx context.Context, part int, i item) (version uint64, err error) {
-	i.ctx, i.done = ctx, make(chan outcome, 1)
+// commit applies a change and returns the version of the rows it wrote. It retries until the change is applied, a
+// condition fails or the context ends.
+func (c *committer) commit(ctx context.Context, partition int, ch change) (version uint64, err error) {
+	ch.ctx, ch.done = ctx, make(chan outcome, 1)
 	c.mu.Lock()
-	c.waiting[part] = append(c.waiting[part], i)
-	if !c.busy[part] {
-		c.busy[part] = true
-		go c.run(part)
+	c.waiting[partition] = append(c.waiting[partition], ch)
+	if !c.running[partition] {
+		c.running[partition] = true
+		go c.run(partition)
 	}
 	c.mu.Unlock()
 	select {
-	case o := <-i.done:
+	case o := <-ch.done:
 		return o.version, o.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-func (c *committer) run(part int) {
+// run applies the changes of a partition, batch by batch, until none are waiting.
+func (c *committer) run(partition int) {
 	for {
-		batch := c.next(part)
+		batch := c.nextBatch(partition)
 		if len(batch) == 0 {
 			return
 		}
-		c.apply(part, batch)
+		c.apply(partition, batch)
 	}
 }
 
-// next takes the changes of the next transaction, without those that nobody waits for.
-func (c *committer) next(part int) (batch []item) {
+// nextBatch removes the changes of the next transaction from the queue, and discards those whose context has ended.
+func (c *committer) nextBatch(partition int) (batch []change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entries, bytes := 0, 0
-	queue := c.waiting[part]
+	queue := c.waiting[partition]
 	for len(queue) > 0 {
-		i := queue[0]
-		if i.ctx.Err() != nil {
+		ch := queue[0]
+		if ch.ctx.Err() != nil {
 			queue = queue[1:]
 			continue
 		}
-		entries += len(i.conditions) + len(i.puts)
-		bytes += i.bytes()
+		entries += len(ch.conditions) + len(ch.puts)
+		bytes += ch.bytes()
 		if len(batch) > 0 && (entries > maxEntries || bytes > maxBytes) {
 			break
 		}
-		batch = append(batch, i)
+		batch = append(batch, ch)
 		queue = queue[1:]
 	}
-	c.waiting[part] = queue
-	c.busy[part] = len(batch) > 0
+	c.waiting[partition] = queue
+	c.running[partition] = len(batch) > 0
 	return batch
 }
 
-func (c *committer) apply(part int, batch []item) {
+// apply commits a batch as one transaction. Changes that were not applied are queued again, unless their conditions
+// failed.
+func (c *committer) apply(partition int, batch []change) {
 	var t hgstore.Txn
-	for _, i := range batch {
-		t.Conditions = append(t.Conditions, i.conditions...)
-		t.Puts = append(t.Puts, i.puts...)
+	for _, ch := range batch {
+		t.Conditions = append(t.Conditions, ch.conditions...)
+		t.Puts = append(t.Puts, ch.puts...)
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), commitTime)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	version, err := c.table.Commit(ctx, t)
 	conflict := conflictOf(err)
-	failures := c.ended(part, err == nil || conflict != nil, time.Since(began))
+	failures := c.record(partition, err == nil || conflict != nil, time.Since(began))
 	if err == nil {
-		for _, i := range batch {
-			i.done <- outcome{version: version}
+		for _, ch := range batch {
+			ch.done <- outcome{version: version}
 		}
 		return
 	}
 	if conflict != nil {
-		c.again(part, c.dropConflicts(batch, conflict, err))
+		c.requeue(partition, c.dropConflicts(batch, conflict, err))
 		return
 	}
-	c.again(part, batch)
+	c.requeue(partition, batch)
 	pause := c.opts.retryAfter << min(failures, maxDoublings)
 	time.Sleep(pause/2 + rand.N(pause))
 }
 
-// dropConflicts answers the changes whose conditions failed and returns the others.
-func (c *committer) dropConflicts(batch []item, conflict *hgstore.ConflictError, err error) (rest []item) {
+// dropConflicts completes the changes whose conditions failed with err, and returns the others.
+func (c *committer) dropConflicts(batch []change, conflict *hgstore.ConflictError, err error) (rest []change) {
 	present := map[string]uint64{}
 	for _, r := range conflict.Rows {
 		present[r.Key] = r.Version
 	}
-	for _, i := range batch {
+	for _, ch := range batch {
 		failed := false
-		for _, cond := range i.conditions {
+		for _, cond := range ch.conditions {
 			failed = failed || present[cond.Key] != cond.Version
 		}
 		if failed {
-			i.done <- outcome{err: err}
+			ch.done <- outcome{err: err}
 		} else {
-			rest = append(rest, i)
+			rest = append(rest, ch)
 		}
 	}
 	if len(rest) == len(batch) {
-		// The reply does not say which condition failed, so that none may be tried again as it is.
-		for _, i := range rest {
-			i.done <- outcome{err: err}
+		// The reply does not tell which condition failed, so no change can be retried.
+		for _, ch := range rest {
+			ch.done <- outcome{err: err}
 		}
 		return nil
 	}
 	return rest
 }
 
-func (c *committer) again(part int, batch []item) {
+// requeue puts changes back at the head of the queue.
+func (c *committer) requeue(partition int, batch []change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting[part] = append(batch, c.waiting[part]...)
+	c.waiting[partition] = append(batch, c.waiting[partition]...)
 }
 
+// conflictOf returns the conflict that err reports, or nil.
 func conflictOf(err error) *hgstore.ConflictError {
 	var c *hgstore.ConflictError
 	if errors.As(err, &c) {
--- a/internal/state/hgledger/cut_test.go
+++ b/internal/state/hgledger/cut_test.go
@@ -17,9 +17,9 @@
 	"hyssopgrade/internal/state/hgledger"
 )
 
-var errCut = errors.New("cut off")
+var errCut = errors.New("VM is cut off from the store")
 
-// cutTable is the store as one VM reaches it.
+// cutTable is the store as one VM reaches it: every operation fails while the VM is cut off.
 type cutTable struct {
 	hgstore.Table
 	isCut func() bool
@@ -46,26 +46,28 @@
 	return c.Table.Commit(ctx, t)
 }
 
-// network is VMs with a ledger each, some of which are cut off from the store and from those on the other side.
+// network simulates network partitions between VMs with a ledger each. A VM reaches only the VMs on its own side; those
+// on side 0 reach the store.
 type network struct {
 	t     *testing.T
 	store *hgstore.Memory
-	// side is the side of a cut that each VM is on; the store is on side 0.
+	// side is the side of the network partition that each VM is on; the store is on side 0.
 	side    []int
 	starts  []int
 	ledgers []*hgledger.Ledger
-	// forgets says that VMs which do not answer are held for dead, and majority that only most of all VMs may do so.
+	// forgets is set if a VM takes those that do not answer for dead. With majority, it does so only if it reaches a
+	// majority of all VMs.
 	forgets, majority bool
-	// handed is what the callers of a program got, and log what happened.
-	handed int
-	log    []string
+	// delivered counts the tokens that the callers of the program got; log lists the steps.
+	delivered int
+	log       []string
 }
 
 const (
 	cutBudget = 500
 	cutMost   = 200
 	cutVMs    = 6
-	// cutDomains is the number of failure domains that the VMs lie in.
+	// cutDomains is the number of failure domains of the VMs.
 	cutDomains = 2
 )
 
@@ -80,7 +82,7 @@
 	return n
 }
 
-// start starts the ledger of a VM, which knows all programs at the first start of the site only.
+// start starts or restarts the ledger of a VM. Only at the first start of the site does it know all programs.
 func (n *network) start(i int) {
 	timer := hgtimer.NewService()
 	n.t.Cleanup(timer.Close)
@@ -89,12 +91,13 @@
 		hgledger.WithRetryAfter(time.Millisecond), hgledger.WithBackup(&cutPeers{n, i}), hgledger.WithComplete(n.starts[i] == 1))
 }
 
-// cutPeers are the other VMs as one of them reaches them.
+// cutPeers is the Backup of one VM: the other VMs as it reaches them.
 type cutPeers struct {
 	n    *network
 	self int
 }
 
+// each calls ask for the VMs that are reached, and returns the number of those that are not.
 func (p *cutPeers) each(ask func(i int, l *hgledger.Ledger)) (silent int) {
 	for i, l := range p.n.ledgers {
 		switch {
@@ -116,7 +119,7 @@
 	return a
 }
 
-// IsApart says whether the VM reaches no majority.
+// IsApart reports whether the VM reaches no majority of all VMs.
 func (p *cutPeers) IsApart() bool {
 	return p.n.majority && 2*p.each(func(int, *hgledger.Ledger) {}) >= cutVMs
 }
@@ -139,7 +142,7 @@
 	return p.n.side[p.self] > 0
 }
 
-// turn has a VM serve a turn of the program, of which the caller gets some tokens.
+// turn serves a turn of the program at VM i. The caller gets all or a random number of the reserved tokens.
 func (n *network) turn(r *rand.Rand, i int) {
 	q := hgledger.OpenRequest{
 		Program: "p", Attempt: fmt.Sprint(len(n.log)), Budget: cutBudget, Most: cutMost, HasBudget: true, Offline: n.side[i] > 0,
@@ -153,17 +156,18 @@
 	if r.IntN(3) == 0 {
 		used = r.IntN(reply.Most + 1)
 	}
-	n.handed += used
+	n.delivered += used
 	if err := n.ledgers[i].Close(context.Background(), hgledger.CloseRequest{Program: q.Program, Attempt: q.Attempt, Holder: reply.Holder, Used: used}); err != nil {
 		n.t.Fatal(err)
 	}
 }
 
+// note adds a step to the log.
 func (n *network) note(format string, args ...any) {
-	n.log = append(n.log, fmt.Sprintf(format, args...)+fmt.Sprintf(" [sides %v, handed %d]", n.side, n.handed))
+	n.log = append(n.log, fmt.Sprintf(format, args...)+fmt.Sprintf(" [sides %v, delivered %d]", n.side, n.delivered))
 }
 
-// step does something at random.
+// step takes a random step: it cuts off a VM, heals the network, restarts a VM, saves its claims or serves a turn.
 func (n *network) step(r *rand.Rand) {
 	i := r.IntN(cutVMs)
 	switch r.IntN(12) {
@@ -184,7 +188,8 @@
 	default:
 		n.turn(r, i)
 	}
-	// What a ledger has begun to serve is told once, to those of its failure domain that it reaches.
+	// Each program that a ledger has begun to serve is reported once, to the peers of its failure domain that it
+	// reaches.
 	for i, l := range n.ledgers {
 		begun := l.Seen()
 		(&cutPeers{n, i}).each(func(k int, peer *hgledger.Ledger) {
@@ -195,7 +200,8 @@
 	}
 }
 
-// The budget holds to one turn's most whatever is cut off, together or apart, and whenever it heals.
+// Callers get no more than the budget plus the maximum of one turn, whichever VMs network partitions cut off, together
+// or apart, and whenever the network heals. The budget is exceeded if a minority may take silent VMs for dead.
 func TestBudgetHoldsInCuts(t *testing.T) {
 	tests := map[string]struct{ forgets, majority, holds bool }{
 		"silent VMs count":                       {false, true, true},
@@ -204,7 +210,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			// Seed 13168 broke the bound while a known row kept a ledger from asking what was taken without one.
+			// Seed 13168 exceeded the bound when a ledger that knew the row did not ask its peers for unsaved claims.
 			seeds := append(lo.RangeFrom(uint64(0), 400), 13168)
 			for _, seed := range seeds {
 				n := newNetwork(t, tc.forgets, tc.majority)
@@ -212,16 +218,16 @@
 				for range 30 {
 					n.step(r)
 				}
-				if n.handed <= cutBudget+cutMost {
+				if n.delivered <= cutBudget+cutMost {
 					continue
 				}
 				if tc.holds {
-					t.Fatalf("seed %d: %d tokens of %d and %d:\n%s", seed, n.handed, cutBudget, cutMost, strings.Join(n.log, "\n"))
+					t.Fatalf("seed %d: %d tokens of %d and %d:\n%s", seed, n.delivered, cutBudget, cutMost, strings.Join(n.log, "\n"))
 				}
 				return
 			}
 			if !tc.holds {
-				t.Error("no seed shows what the guard is for")
+				t.Error("no seed exceeds the budget without the guard")
 			}
 		})
 	}
--- a/internal/state/hgledger/doc.go
+++ b/internal/state/hgledger/doc.go
@@ -1,3 +1,5 @@
-// Package hgledger keeps budgets and turns of programs in the platform's table. Any node may serve any program at any
-// time: the version of a program's row alone makes that safe, and the node that serves it mostly holds it in memory.
+// Package hgledger keeps the budgets and turns of programs in the platform's table store.
+//
+// Any node may serve any program at any time: writes that are conditional on the version of the program's row make that
+// safe. A program is mostly served by one node, which holds its state in memory.
 package hgledger
--- a/internal/state/hgledger/failover.go
+++ b/internal/state/hgledger/failover.go
@@ -13,82 +13,85 @@
 	"hyssopgrade/hgstore"
 )
 
-// A program whose own part of the store is out of reach keeps its account in another part. A marker, written before the
-// first such account, tells all ledgers to look there as well; it stays as long as accounts do.
+// While the home partition of a new program is unreachable, the program's account fails over to an alternate partition.
+// A marker row for the home partition, written before the first such account, tells all ledgers to look in the
+// alternate partitions as well. Markers are never removed, as accounts are not moved back.
 
-// MarkerPrefix begins the keys of markers; they lie in a table that all nodes watch.
+// MarkerPrefix is the prefix of the keys of marker rows. They are in a table that all nodes watch.
 const MarkerPrefix = "hgnode//bypass-"
 
-// bypassSign is how long a ledger tells its peers of a bypass besides the marker, which they see about a second later.
-const bypassSign = 3 * time.Second
+// failoverNotice is how long a ledger reports a failover in its heartbeats, as peers see the marker only about a second
+// later.
+const failoverNotice = 3 * time.Second
 
-func markerKey(part int) string { return fmt.Sprintf("%s%02d", MarkerPrefix, part) }
+func markerKey(home int) string { return fmt.Sprintf("%s%02d", MarkerPrefix, home) }
 
-// SetMarkers takes over the markers among the rows of the watched table, once it has been read whole.
+// SetMarkers reads the markers among the rows of the watched table. The rows have to be all rows of that table.
 func (l *Ledger) SetMarkers(rows map[string]hgstore.Row) {
 	for key := range rows {
 		number, ok := strings.CutPrefix(key, MarkerPrefix)
 		if !ok {
 			continue
 		}
-		if n, err := strconv.Atoi(number); err == nil && n >= 0 && n < parts {
-			l.bypassed[n].Store(true)
+		if n, err := strconv.Atoi(number); err == nil && n >= 0 && n < numPartitions {
+			l.failedOver[n].Store(true)
 		}
 	}
 	l.markersRead.Store(true)
 }
 
-// alternate returns one of the parts in which an account may be kept instead of its own.
-func alternate(home, i int) int { return (home + i*stride) % parts }
+// alternatePartition returns the i-th alternate of a home partition; the 0th is the home partition itself.
+func alternatePartition(home, i int) int { return (home + i*stride) % numPartitions }
 
-// bypass moves the account of a new program to another part while its own is out of reach.
-func (l *Ledger) bypass(ctx context.Context, p *program, isNew bool) bool {
-	if p.known || p.unsaved || len(p.copies) > 0 || p.at != part(p.id) {
-		return !l.commit.isDown(p.at)
+// failOver moves the account of a new program to an alternate partition while its home partition is unreachable. It
+// reports whether the partition that holds the account afterwards counts as reachable.
+func (l *Ledger) failOver(ctx context.Context, p *program, isNew bool) bool {
+	if p.rowKnown || p.unsaved || len(p.copies) > 0 || p.partition != homePartition(p.id) {
+		return !l.committer.isUnreachable(p.partition)
 	}
-	if l.bypassed[p.at].Load() {
-		if err := l.readAlternates(ctx, p); err != nil || p.known {
-			return err == nil && !l.commit.isDown(p.at)
+	if l.failedOver[p.partition].Load() {
+		if err := l.readAlternates(ctx, p); err != nil || p.rowKnown {
+			return err == nil && !l.committer.isUnreachable(p.partition)
 		}
 	}
-	if !l.isSole(ctx, p, isNew) || !l.mark(ctx, p.at) {
+	if !l.isSoleHolder(ctx, p, isNew) || !l.writeMarker(ctx, p.partition) {
 		return false
 	}
 	for i := 1; i <= alternates; i++ {
-		if at := alternate(p.at, i); !l.commit.isDown(at) {
-			l.log.Info("account kept in another part", "program", p.id, "home", p.at, "part", at)
-			p.at = at
+		if alternate := alternatePartition(p.partition, i); !l.committer.isUnreachable(alternate) {
+			l.log.Info("account failed over to an alternate partition", "program", p.id, "home", p.partition, "part", alternate)
+			p.partition = alternate
 			l.reload(p, accountRow{}, 0, true)
-			l.bypassAt.Store(int64(l.timer.Now()))
+			l.lastFailover.Store(int64(l.timer.Now()))
 			return true
 		}
 	}
 	return false
 }
 
-// mark makes it durable that accounts of a part may be elsewhere.
-func (l *Ledger) mark(ctx context.Context, home int) bool {
-	if l.bypassed[home].Load() {
+// writeMarker writes the marker of a home partition if there is none, and reports whether it is durable.
+func (l *Ledger) writeMarker(ctx context.Context, home int) bool {
+	if l.failedOver[home].Load() {
 		return true
 	}
 	_, err := l.table.Commit(ctx, hgstore.Txn{Puts: []hgstore.Put{{Key: markerKey(home), Value: []byte(l.id)}}})
 	if err != nil {
-		l.log.Debug("marker not written", "part", home, "error", err)
+		l.log.Debug("failover marker not written", "part", home, "error", err)
 		return false
 	}
-	l.bypassed[home].Store(true)
+	l.failedOver[home].Store(true)
 	return true
 }
 
-// readAlternates looks for a program's account in the parts besides its own, and leaves p as it is if there is none.
+// readAlternates reads a program's account from the alternate partitions, and leaves p as it is if there is none.
 func (l *Ledger) readAlternates(ctx context.Context, p *program) (err error) {
-	defer func() { err = trace.Wrap(err, "account of program %s in other parts", p.id) }()
-	home := part(p.id)
+	defer func() { err = trace.Wrap(err, "read account of program %s in alternate partitions", p.id) }()
+	home := homePartition(p.id)
 	var found [alternates + 1]*hgstore.Row
 	group, ctx := errgroup.WithContext(ctx)
 	for i := 1; i <= alternates; i++ {
 		group.Go(func() error {
-			row, err := l.table.Get(ctx, accountKey(alternate(home, i), p.id))
+			row, err := l.table.Get(ctx, accountKey(alternatePartition(home, i), p.id))
 			if err == nil {
 				found[i] = &row
 			}
@@ -107,15 +110,15 @@
 		if err != nil {
 			return err
 		}
-		p.at = alternate(home, i)
+		p.partition = alternatePartition(home, i)
 		l.reload(p, row, r.Version, true)
 		return nil
 	}
 	return err
 }
 
-// bypassedLately says whether this ledger has lately kept an account in another part.
-func (l *Ledger) bypassedLately() bool {
-	at := time.Duration(l.bypassAt.Load())
-	return at > 0 && l.timer.Now()-at < bypassSign
+// failedOverRecently reports whether this ledger has moved an account to an alternate partition within failoverNotice.
+func (l *Ledger) failedOverRecently() bool {
+	at := time.Duration(l.lastFailover.Load())
+	return at > 0 && l.timer.Now()-at < failoverNotice
 }
--- a/internal/state/hgledger/forget.go
+++ b/internal/state/hgledger/forget.go
@@ -10,26 +10,27 @@
 	"hyssopgrade/hgstore"
 )
 
-// maxDeletes bounds the rows that one transaction removes; the store takes 100 entries.
+// maxDeletes bounds the rows that one transaction deletes. The store accepts up to 100 entries.
 const maxDeletes = 90
 
-// Forget drops programs that have been silent for a time, which must be longer than turns are kept, and removes their
-// rows, unless another ledger has served them since. It returns how many were dropped and how many rows stayed by a fault.
+// Forget evicts programs that have not been used for the duration silent, which has to be longer than turns are
+// retained. It deletes their rows unless another ledger has served them since. It returns the number of programs
+// evicted and the number that stay because of an error.
 func (l *Ledger) Forget(ctx context.Context, silent time.Duration) (dropped, failed int) {
 	before := l.timer.Now() - silent
-	l.seen.forget(before)
-	return l.each(func(p *program) (done bool, err error) {
+	l.known.evict(before)
+	return l.forEachProgram(func(p *program) (done bool, err error) {
 		if !p.lock(ctx) {
 			return false, ctx.Err()
 		}
 		defer p.unlock()
-		if p.touched >= before || p.unsaved || len(p.copies) > 0 {
+		if p.lastUsed >= before || p.unsaved || len(p.copies) > 0 {
 			return false, nil
 		}
 		if err := l.removeRows(ctx, p); err != nil {
 			return false, err
 		}
-		s := &l.shards[hash(p.id)%shards]
+		s := &l.shards[hash(p.id)%numShards]
 		s.mu.Lock()
 		delete(s.programs, p.id)
 		s.mu.Unlock()
@@ -37,21 +38,21 @@
 	})
 }
 
-// removeRows removes a program's account and turns, if its row is as this ledger knows it.
+// removeRows deletes a program's account and turns if the account's row still has the known version.
 func (l *Ledger) removeRows(ctx context.Context, p *program) (err error) {
 	defer func() { err = trace.Wrap(err, "remove program %s", p.id) }()
-	if !p.known || p.version == 0 {
+	if !p.rowKnown || p.version == 0 {
 		return nil
 	}
 	var keys []string
 	for _, t := range p.turns {
-		puts, err := turnPuts(part(p.id), p.id, t)
+		puts, err := turnPuts(homePartition(p.id), p.id, t)
 		if err != nil {
 			return err
 		}
 		keys = append(keys, lo.Map(puts, func(put hgstore.Put, _ int) string { return put.Key })...)
 	}
-	account := accountKey(p.at, p.id)
+	account := accountKey(p.partition, p.id)
 	_, err = l.table.Commit(ctx, hgstore.Txn{
 		Conditions: []hgstore.Condition{{Key: account, Version: p.version}}, Deletes: []string{account},
 	})
--- a/internal/state/hgledger/history.go
+++ b/internal/state/hgledger/history.go
@@ -14,28 +14,28 @@
 	"hyssopgrade/internal/state/hgturn"
 )
 
-// turnPuts returns the rows of a turn in a part: its text, and the one that leads to its program.
-func turnPuts(part int, program string, t hgturn.Turn) (puts []hgstore.Put, err error) {
-	if puts, err = textPuts(part, program, t); err != nil {
+// turnPuts returns all rows of a turn in a partition: those with its text, and the one that maps it to its program.
+func turnPuts(partition int, program string, t hgturn.Turn) (puts []hgstore.Put, err error) {
+	if puts, err = textPuts(partition, program, t); err != nil {
 		return nil, err
 	}
-	return append(puts, hgstore.Put{Key: turnKey(part, t.ID), Value: []byte(program)}), nil
+	return append(puts, hgstore.Put{Key: turnKey(partition, t.ID), Value: []byte(program)}), nil
 }
 
-// textPuts returns the rows with a turn's text.
-func textPuts(part int, program string, t hgturn.Turn) (puts []hgstore.Put, err error) {
+// textPuts returns the rows with a turn's text, split into chunks.
+func textPuts(partition int, program string, t hgturn.Turn) (puts []hgstore.Put, err error) {
 	data, err := turnCodec.Encode(t)
 	if err != nil {
 		return nil, err
 	}
 	for i := 0; len(data) > 0 || i == 0; i++ {
 		n := min(chunkBytes, len(data))
-		flag := last
+		flag := lastChunk
 		if n < len(data) {
-			flag = more
+			flag = moreChunks
 		}
 		puts = append(puts, hgstore.Put{
-			Key:   fmt.Sprintf("%st/%s/%03d", programPrefix(part, program), name(t.ID), i),
+			Key:   fmt.Sprintf("%st/%s/%03d", programPrefix(partition, program), keyID(t.ID), i),
 			Value: append([]byte{flag}, data[:n]...),
 		})
 		data = data[n:]
@@ -43,41 +43,42 @@
 	return puts, nil
 }
 
-// keepTime is how long the program's own part of the store is waited for before a turn is kept in another one.
-// In a slow store it is usualFactor times what writes take.
+// storeTimeout is how long a write of a turn to one partition may take before the next partition is tried. In a slow
+// store it is storeTimeoutFactor times the average duration of a write.
 const (
-	keepTime    = 300 * time.Millisecond
-	usualFactor = 3
+	storeTimeout       = 300 * time.Millisecond
+	storeTimeoutFactor = 3
 )
 
-// keep makes a turn durable, in the program's own part of the store or, while that is out of reach, in another one.
-func (l *Ledger) keep(ctx context.Context, program string, t hgturn.Turn) (err error) {
-	home := part(program)
+// storeTurn makes a turn durable, in the program's home partition or, while that is unreachable, in an alternate one.
+// It tries them in turn until the context ends.
+func (l *Ledger) storeTurn(ctx context.Context, program string, t hgturn.Turn) (err error) {
+	home := homePartition(program)
 	for i := 0; ; i = (i + 1) % (alternates + 1) {
-		at := alternate(home, i)
-		puts, err := turnPuts(at, program, t)
+		partition := alternatePartition(home, i)
+		puts, err := turnPuts(partition, program, t)
 		if err != nil {
 			return err
 		}
-		if err = l.put(ctx, at, puts); err == nil || ctx.Err() != nil {
+		if err = l.putRows(ctx, partition, puts); err == nil || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// put writes rows to a part, unless it is out of reach.
-func (l *Ledger) put(ctx context.Context, part int, puts []hgstore.Put) (err error) {
-	if l.commit.isDown(part) {
-		// All parts may be out of reach.
-		return sleep(ctx, retryAfter, trace.ConnectionProblem(nil, "part %d is out of reach", part))
+// putRows writes rows to a partition. It fails after a pause if the partition counts as unreachable.
+func (l *Ledger) putRows(ctx context.Context, partition int, puts []hgstore.Put) (err error) {
+	if l.committer.isUnreachable(partition) {
+		// The pause keeps storeTurn from spinning while all partitions are unreachable.
+		return sleep(ctx, retryAfter, trace.ConnectionProblem(nil, "part %d is out of reach", partition))
 	}
-	ctx, cancel := context.WithTimeout(ctx, max(keepTime, usualFactor*l.commit.usually()))
+	ctx, cancel := context.WithTimeout(ctx, max(storeTimeout, storeTimeoutFactor*l.committer.averageDuration()))
 	defer cancel()
-	_, err = l.commit.do(ctx, part, item{puts: puts})
+	_, err = l.committer.commit(ctx, partition, change{puts: puts})
 	return err
 }
 
-// sleep waits and returns err, or the context's error when it ends.
+// sleep pauses and returns err, or returns the context's error if that ends first.
 func sleep(ctx context.Context, d time.Duration, err error) error {
 	select {
 	case <-ctx.Done():
@@ -87,25 +88,28 @@
 	}
 }
 
-// copyTurn makes a turn of another program durable; the row that leads to it stays the other program's.
+// copyTurn writes a copy of another program's turn to the rows of this program. The row that maps the turn to its
+// program still names the other one.
 func (l *Ledger) copyTurn(ctx context.Context, program string, t hgturn.Turn) (err error) {
-	home := part(program)
+	home := homePartition(program)
 	puts, err := textPuts(home, program, t)
 	if err != nil {
 		return err
 	}
-	_, err = l.commit.do(ctx, home, item{puts: puts})
+	_, err = l.committer.commit(ctx, home, change{puts: puts})
 	return err
 }
 
-// maxLookups bounds the searches for one history; each part of it that was kept elsewhere takes one.
+// maxLookups bounds the searches for one history. Each section of it that lies in another program or partition takes
+// one.
 const maxLookups = 12
 
-// text returns what was said up to a turn. Not found is said only after a read of the newest state of all parts.
-func (l *Ledger) text(ctx context.Context, p *program, turn string) (text []byte, v Verdict, err error) {
+// history returns the text of a turn and its ancestors. NoTurn is returned only after the newest rows of all partitions
+// have been read and none of them holds the turn.
+func (l *Ledger) history(ctx context.Context, p *program, turn string) (text []byte, v Verdict, err error) {
 	path, missing := p.turns.Path(turn)
 	if missing != "" {
-		if err := l.load(ctx, p); err != nil {
+		if err := l.loadProgram(ctx, p); err != nil {
 			return nil, Unsure, err
 		}
 		path, missing = p.turns.Path(turn)
@@ -122,14 +126,14 @@
 		case found == nil && missing == turn:
 			return nil, NoTurn, nil
 		case found == nil:
-			return nil, Unsure, trace.NotFound("turn %s, which %s goes back to, does not exist", missing, turn)
+			return nil, Unsure, trace.NotFound("turn %s, an ancestor of turn %s, does not exist", missing, turn)
 		}
 		maps.Copy(foreign, found)
 		maps.Copy(p.turns, found)
 		path, missing = p.turns.Path(turn)
 	}
 	if missing != "" {
-		return nil, Unsure, trace.LimitExceeded("history of turn %s is in too many places", turn)
+		return nil, Unsure, trace.LimitExceeded("history of turn %s takes too many lookups", turn)
 	}
 	for _, t := range path {
 		if _, ok := foreign[t.ID]; !ok {
@@ -142,13 +146,13 @@
 	return hgturn.Text(path), Granted, nil
 }
 
-// findTurn returns the turns that are kept together with a turn: in another program, or in another part. Nil means that
-// no part of the store knows the turn.
+// findTurn finds the partition and the program that hold a turn, and returns all turns stored there. It returns nil if
+// no partition holds the turn.
 func (l *Ledger) findTurn(ctx context.Context, turn string) (turns hgturn.Tree, err error) {
 	defer func() { err = trace.Wrap(err, "find turn %s", turn) }()
-	var programs [parts]string
+	var programs [numPartitions]string
 	group, groupCtx := errgroup.WithContext(ctx)
-	for i := range parts {
+	for i := range numPartitions {
 		group.Go(func() error {
 			row, err := l.table.Get(groupCtx, turnKey(i, turn))
 			if trace.IsNotFound(err) {
@@ -161,13 +165,13 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	program, at, ok := lo.FindIndexOf(programs[:], func(program string) bool { return program != "" })
+	program, partition, ok := lo.FindIndexOf(programs[:], func(program string) bool { return program != "" })
 	if !ok {
 		return nil, nil
 	}
-	turns, _, _, err = l.readProgram(ctx, at, program)
+	turns, _, _, err = l.readProgram(ctx, partition, program)
 	if _, found := turns[turn]; err == nil && !found {
-		return nil, trace.NotFound("part %d of program %s does not hold the turn that leads to it", at, program)
+		return nil, trace.NotFound("partition %d holds no text of the turn in program %s", partition, program)
 	}
 	return turns, err
 }
--- a/internal/state/hgledger/known.go
+++ b/internal/state/hgledger/known.go
@@ -5,80 +5,84 @@
 	"time"
 )
 
-// seen remembers which programs have been served nearby, to tell new ones from others while the store cannot.
-type seen struct {
+// knownPrograms holds the programs that this ledger and the peers that report to it have served, to recognize new
+// programs while the store is unreachable. It identifies programs by the hashes of their identifiers.
+type knownPrograms struct {
 	mu sync.Mutex
-	// at is when a program was last heard of, by the digest of its name; own marks those opened at this ledger.
-	at map[uint64]time.Duration
-	// fresh are those opened at this ledger since they were last taken for the peers.
-	fresh []uint64
-	// complete says that all programs of the retention time are known.
+	// lastSeen maps programs to the time of the last report on them.
+	lastSeen map[uint64]time.Duration
+	// unreported lists the programs that add has added since the last call of Seen, which returns them for the peers.
+	unreported []uint64
+	// complete is set if all programs within the retention time are known.
 	complete bool
 }
 
-// Seen returns the programs opened at this ledger since the last call, for its peers.
-func (l *Ledger) Seen() (fresh []uint64) {
-	l.seen.mu.Lock()
-	defer l.seen.mu.Unlock()
-	fresh, l.seen.fresh = l.seen.fresh, nil
-	return fresh
+// Seen returns the programs that were first served here, or of which a first copy was taken, since the last call. The
+// node sends them to its peers.
+func (l *Ledger) Seen() (programs []uint64) {
+	l.known.mu.Lock()
+	defer l.known.mu.Unlock()
+	programs, l.known.unreported = l.known.unreported, nil
+	return programs
 }
 
-// AllSeen returns all programs that are known, and whether that is all there are.
+// AllSeen returns all known programs, and whether these are all programs within the retention time.
 func (l *Ledger) AllSeen() (programs []uint64, complete bool) {
-	l.seen.mu.Lock()
-	defer l.seen.mu.Unlock()
-	for p := range l.seen.at {
+	l.known.mu.Lock()
+	defer l.known.mu.Unlock()
+	for p := range l.known.lastSeen {
 		programs = append(programs, p)
 	}
-	return programs, l.seen.complete
+	return programs, l.known.complete
 }
 
-// Learn takes over programs that a peer has served.
+// Learn adds programs that a peer reports; complete tells whether the peer knows all programs within the retention
+// time.
 func (l *Ledger) Learn(programs []uint64, complete bool) {
 	now := l.timer.Now()
-	l.seen.mu.Lock()
-	defer l.seen.mu.Unlock()
+	l.known.mu.Lock()
+	defer l.known.mu.Unlock()
 	for _, p := range programs {
-		l.seen.at[p] = now
+		l.known.lastSeen[p] = now
 	}
-	l.seen.complete = l.seen.complete || complete
+	l.known.complete = l.known.complete || complete
 }
 
-// note remembers a program that is opened here.
-func (s *seen) note(program string, now time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// add records that this ledger serves a program or holds a copy of a claim on its budget.
+func (k *knownPrograms) add(program string, now time.Duration) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
 	digest := hash(program)
-	if _, ok := s.at[digest]; !ok {
-		s.fresh = append(s.fresh, digest)
+	if _, ok := k.lastSeen[digest]; !ok {
+		k.unreported = append(k.unreported, digest)
 	}
-	s.at[digest] = now
+	k.lastSeen[digest] = now
 }
 
-// isNew says whether nobody nearby has served a program.
-func (s *seen) isNew(program string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, ok := s.at[hash(program)]
-	return s.complete && !ok
+// isNew reports whether a program has certainly not been served before: all programs are known and it is not among
+// them.
+func (k *knownPrograms) isNew(program string) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	_, ok := k.lastSeen[hash(program)]
+	return k.complete && !ok
 }
 
-// knows says whether the program was heard of.
-func (s *seen) knows(program string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, ok := s.at[hash(program)]
+// contains reports whether the program is known.
+func (k *knownPrograms) contains(program string) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	_, ok := k.lastSeen[hash(program)]
 	return ok
 }
 
-// forget drops programs that were last heard of before a time.
-func (s *seen) forget(before time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for p, at := range s.at {
-		if at < before {
-			delete(s.at, p)
+// evict removes programs that were last reported before a time.
+func (k *knownPrograms) evict(before time.Duration) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for p, seen := range k.lastSeen {
+		if seen < before {
+			delete(k.lastSeen, p)
 		}
 	}
 }
--- a/internal/state/hgledger/ledger.go
+++ b/internal/state/hgledger/ledger.go
@@ -15,129 +15,135 @@
 	"hyssopgrade/internal/state/hgturn"
 )
 
-// Verdict is the answer to the question whether a turn may run.
+// Verdict is the decision whether a turn may run.
 type Verdict string
 
-// The verdicts.
+// Verdicts of Ledger.Open. The values are sent to peers and logged.
 const (
-	// Granted turns may run.
+	// Granted means that the turn may run.
 	Granted Verdict = "granted"
-	// Spent means that the budget does not hold the turn.
+	// Spent means that the rest of the budget is too small for the turn.
 	Spent Verdict = "spent"
-	// NoTurn means that the turn to continue certainly does not exist.
+	// NoTurn means that the turn to continue does not exist. The newest rows have been read.
 	NoTurn Verdict = "noTurn"
-	// Unsure means that the store could not tell.
+	// Unsure means that the decision could not be made in time, mostly because the store did not answer.
 	Unsure Verdict = "unsure"
-	// Outage means that no node reaches the store.
+	// Outage means that the store is unreachable and the turn cannot be granted without it.
 	Outage Verdict = "outage"
-	// Busy means that the program is a new one and has to wait.
+	// Busy means that the replicas are busy, so that new programs have to wait.
 	Busy Verdict = "busy"
 )
 
-// OpenRequest asks whether a turn may run.
+// OpenRequest asks whether a turn of a program may run. Peers exchange it with encoding/gob under its Go field names.
 type OpenRequest struct {
 	Program, Attempt string
-	// Previous is the turn to continue, or empty.
+	// Previous identifies the turn to continue; it is empty if the turn continues none.
 	Previous string
-	// Budget and Most are the program's budget and the turn's most, in tokens; without HasBudget neither counts.
+	// Budget is the program's budget and Most the maximum output of the turn, in tokens; both are ignored without
+	// HasBudget.
 	Budget, Most int
 	HasBudget    bool
-	// Estimate is the expected length of the turn, in tokens; 0 if it is not known.
+	// Estimate is the expected output of the turn, in tokens; 0 if it is not known.
 	Estimate int
-	// Prompt lists the parts of the prompt.
+	// Prompt lists the parts of the prompt with their lengths, for the estimate of cached tokens.
 	Prompt []hgattempt.Part
-	// Kept says that the turn is to be kept.
+	// Kept is set if the turn has to be stored when it ends.
 	Kept bool
-	// NoNew says that the replicas are busy, so that only programs under way go on.
+	// NoNew is set if the replicas are busy, so that only programs that have been served before may continue.
 	NoNew bool
-	// Offline says that no node reaches the store, so that only what is in memory counts.
+	// Offline is set if the store is unreachable, so that the decision rests on the state in memory.
 	Offline bool
-	// KnownOnly says that nothing is taken for a program that this ledger has taken nothing for before.
+	// KnownOnly is set if an offline ledger must not claim tokens for a program of which it holds no share yet.
 	KnownOnly bool
-	// Whole says that less than Most is not worth having.
+	// Whole is set if an offline ledger must not grant fewer tokens than Most.
 	Whole bool
 }
 
-// OpenReply is the decision on a turn.
+// OpenReply is the decision on a turn. Peers exchange it with encoding/gob under its Go field names.
 type OpenReply struct {
 	Verdict Verdict
-	// Text is what was said in the turns that this one continues.
+	// Text holds the inputs and outputs of the turns that this one continues.
 	Text []byte
-	// Kept is the number of the prompt's tokens that a replica need not read again, by replica.
+	// Kept maps replicas to the number of prompt tokens that they are expected to have cached.
 	Kept map[string]int
-	// Holder names the ledger that holds the reservation, and Most is its size; a turn of a program with a budget hands
-	// out no more than that.
+	// Holder names the ledger that holds the reservation. Most is the size of the reservation, in tokens: if the
+	// program has a budget, no more than that may be delivered to the caller.
 	Holder string
 	Most   int
-	// New says that the ledger has served no turn of the program before.
+	// New is set if the ledger has served no turn of the program before.
 	New bool
 }
 
-// CloseRequest settles a turn.
+// CloseRequest settles a turn. Peers exchange it with encoding/gob under its Go field names.
 type CloseRequest struct {
 	Program, Attempt string
-	// Holder is that of the reply to the opening, or empty if there was none; another ledger leaves the reservation alone.
+	// Holder is the Holder of the OpenReply, or empty if no reply was received. A ledger that Holder does not name
+	// keeps its reservation; if Holder is empty, any ledger releases it.
 	Holder string
-	// Used is the number of tokens that the caller got.
+	// Used is the number of tokens that were delivered to the caller.
 	Used int
-	// Replica is the replica that ran the turn, and Prompt what it read.
+	// Replica is the replica that ran the turn, and Prompt lists the parts of the prompt that it processed.
 	Replica string
 	Prompt  []hgattempt.Part
-	// Turn is the turn to keep, or nil.
+	// Turn is the turn to store, or nil.
 	Turn *hgturn.Turn
 }
 
 const (
-	// openWait bounds an opening; a caller's attempt is worth little after that.
-	openWait = 1200 * time.Millisecond
-	// onlineWait bounds its writes, after which the part of the store counts as away for this turn. It is longer than
-	// a write takes in a slow store.
-	onlineWait = 800 * time.Millisecond
-	// shards is the number of locks over the programs in memory.
-	shards = 16
+	// openTimeout bounds Open, and the wait for the program's lock when a turn is settled. An attempt that waits longer
+	// for its opening is of little use to the caller.
+	openTimeout = 1200 * time.Millisecond
+	// reserveTimeout bounds a reservation through the store. After it the program's partition of the store counts as
+	// unreachable for this turn. It is longer than a write takes in a slow store.
+	reserveTimeout = 800 * time.Millisecond
+	// numShards is the number of shards of the map of programs, each with its own lock.
+	numShards = 16
 )
 
-// Ledger holds the programs that this node has served lately; it is safe for concurrent use.
+// Ledger decides which turns of programs may run, and holds the programs that this node has served recently. It is safe
+// for concurrent use.
 type Ledger struct {
-	id     string
-	table  hgstore.Table
-	timer  hgtimer.Timer
-	log    *slog.Logger
-	commit *committer
-	backup Backup
-	seen   seen
-	// unsaved is the number of programs whose rows tell less than was taken.
+	id        string
+	table     hgstore.Table
+	timer     hgtimer.Timer
+	log       *slog.Logger
+	committer *committer
+	backup    Backup
+	known     knownPrograms
+	// unsaved is the number of programs of which this ledger has claimed more than their rows record.
 	unsaved atomic.Int64
-	// bypassed says which parts' accounts may be elsewhere, markersRead that this is known, and bypassAt when this
-	// ledger last kept one elsewhere.
-	bypassed    [parts]atomic.Bool
+	// failedOver is set for each partition whose accounts may be in alternate partitions. It is complete once
+	// markersRead is set.
+	failedOver  [numPartitions]atomic.Bool
 	markersRead atomic.Bool
-	bypassAt    atomic.Int64
-	shards      [shards]shard
+	// lastFailover is the time at which this ledger last moved an account to an alternate partition.
+	lastFailover atomic.Int64
+	shards       [numShards]shard
 }
 
-// NewLedger returns an empty ledger over a table; id is unique among all ledgers that ever were.
+// NewLedger returns an empty ledger over a table. The id must not have been used by any ledger before, also not by an
+// earlier process of the same node, as claims in rows are recorded under it.
 func NewLedger(id string, table hgstore.Table, timer hgtimer.Timer, log *slog.Logger, opts ...Option) *Ledger {
 	o := newOptions(opts)
-	l := &Ledger{id: id, table: table, timer: timer, log: log, commit: newCommitter(table, o), backup: o.backup, seen: seen{at: map[uint64]time.Duration{}, complete: o.complete}}
-	l.markersRead.Store(!o.markers)
+	l := &Ledger{id: id, table: table, timer: timer, log: log, committer: newCommitter(table, o), backup: o.backup, known: knownPrograms{lastSeen: map[uint64]time.Duration{}, complete: o.complete}}
+	l.markersRead.Store(!o.awaitMarkers)
 	for i := range l.shards {
 		l.shards[i].programs = map[string]*program{}
 	}
 	return l
 }
 
-// Open decides whether a turn may run, and reserves its most.
+// Open decides whether a turn may run. If the program has a budget, it reserves tokens for the turn.
 func (l *Ledger) Open(ctx context.Context, q OpenRequest) (reply OpenReply) {
-	ctx, cancel := context.WithTimeout(ctx, openWait)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	p := l.program(q.Program)
 	if !p.lock(ctx) {
 		return OpenReply{Verdict: Unsure}
 	}
 	defer p.unlock()
-	p.touched = l.timer.Now()
-	isNew := l.seen.isNew(q.Program)
+	p.lastUsed = l.timer.Now()
+	isNew := l.known.isNew(q.Program)
 	p.isNew = p.isNew || isNew
 	switch {
 	case q.Offline && q.Kept:
@@ -145,83 +151,85 @@
 	case q.NoNew && q.Previous == "" && p.isUnserved():
 		return OpenReply{Verdict: Busy}
 	}
-	text, verdict, err := l.text(ctx, p, q.Previous)
+	text, verdict, err := l.history(ctx, p, q.Previous)
 	if verdict != Granted {
-		l.report("turn not found", q, verdict, err)
+		l.logRefusal("previous turns not available", q, verdict, err)
 		return OpenReply{Verdict: verdict}
 	}
-	reply = OpenReply{Verdict: Granted, Text: text, Kept: p.cached.kept(q.Prompt), Holder: l.id, New: q.Previous == "" && p.isUnserved()}
+	reply = OpenReply{Verdict: Granted, Text: text, Kept: p.cached.tokens(q.Prompt), Holder: l.id, New: q.Previous == "" && p.isUnserved()}
 	if !q.HasBudget {
 		return reply
 	}
-	if reply.Most, verdict, err = l.take(ctx, p, q, isNew); verdict != Granted {
-		l.report("turn not granted", q, verdict, err)
+	if reply.Most, verdict, err = l.reserve(ctx, p, q, isNew); verdict != Granted {
+		l.logRefusal("turn not granted", q, verdict, err)
 		return OpenReply{Verdict: verdict}
 	}
-	l.seen.note(q.Program, p.touched)
-	p.open[q.Attempt] = reply.Most
-	if p.ended[q.Attempt] {
+	l.known.add(q.Program, p.lastUsed)
+	p.reservations[q.Attempt] = reply.Most
+	if p.closedEarly[q.Attempt] {
 		l.release(p, q.Attempt, 0)
 		return OpenReply{Verdict: Unsure}
 	}
 	return reply
 }
 
-// take reserves the tokens of a turn, with the program's row if its part of the store answers, and returns how many.
-func (l *Ledger) take(ctx context.Context, p *program, q OpenRequest, isNew bool) (most int, v Verdict, err error) {
-	if !p.known && !l.markersRead.Load() {
-		return 0, Unsure, trace.NotFound("markers have not been read")
+// reserve reserves tokens for a turn and returns their number. The reservation goes through the program's row if its
+// partition of the store is reachable.
+func (l *Ledger) reserve(ctx context.Context, p *program, q OpenRequest, isNew bool) (reserved int, v Verdict, err error) {
+	if !p.rowKnown && !l.markersRead.Load() {
+		return 0, Unsure, trace.NotFound("failover markers have not been read yet")
 	}
-	if q.Offline || l.commit.isDown(p.at) && !l.bypass(ctx, p, isNew) {
-		most, v = l.reserveOffline(ctx, p, q, isNew)
-		return most, v, nil
+	if q.Offline || l.committer.isUnreachable(p.partition) && !l.failOver(ctx, p, isNew) {
+		reserved, v = l.reserveOffline(ctx, p, q, isNew)
+		return reserved, v, nil
 	}
-	l.learnTaken(ctx, p)
-	online, cancel := context.WithTimeout(ctx, onlineWait)
+	l.fetchUnsavedClaims(ctx, p)
+	online, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	if v, err = l.reserve(online, p, q.Budget, q.Most); v != Unsure || ctx.Err() != nil {
+	if v, err = l.reserveOnline(online, p, q.Budget, q.Most); v != Unsure || ctx.Err() != nil {
 		return q.Most, v, err
 	}
-	if most, v = l.reserveOffline(ctx, p, q, isNew); v == Granted {
-		return most, Granted, nil
+	if reserved, v = l.reserveOffline(ctx, p, q, isNew); v == Granted {
+		return reserved, Granted, nil
 	}
 	return 0, Unsure, err
 }
 
-func (l *Ledger) report(msg string, q OpenRequest, v Verdict, err error) {
+func (l *Ledger) logRefusal(msg string, q OpenRequest, v Verdict, err error) {
 	l.log.Info(msg, "attempt", q.Attempt, "program", q.Program, "previous", q.Previous, "budget", q.Budget, "most", q.Most,
 		"verdict", v, "error", err)
 }
 
-// checkAgain is how long a refusal rests on what other nodes had taken before the row is read again.
-const checkAgain = 500 * time.Millisecond
+// recheckAfter is the age of the last read after which the row is read again before a turn is refused because of the
+// shares of other nodes.
+const recheckAfter = 500 * time.Millisecond
 
-// reserve takes tokens of the budget, with a write if the node has not taken enough of it before.
-func (l *Ledger) reserve(ctx context.Context, p *program, budget, most int) (v Verdict, err error) {
-	if !p.known && l.bypassed[p.at].Load() {
+// reserveOnline reserves tokens of the budget. It writes the row if this ledger's share is too small.
+func (l *Ledger) reserveOnline(ctx context.Context, p *program, budget, maxTokens int) (v Verdict, err error) {
+	if !p.rowKnown && l.failedOver[p.partition].Load() {
 		if err := l.readAccount(ctx, p); err != nil {
 			return Unsure, err
 		}
 	}
-	for asked := false; ; {
-		g := p.account.Reserve(budget, most)
-		beyond := l.backup != nil && p.account.IsBeyond(g, budget)
+	for fetched := false; ; {
+		g := p.account.Reserve(budget, maxTokens)
+		mayOverrun := l.backup != nil && p.account.MayOverrun(g, budget)
 		switch {
-		case beyond && l.backup.IsApart():
-			return Unsure, trace.LimitExceeded("a majority may serve the program without a row")
-		case beyond && !asked:
-			asked = true
-			l.askTaken(ctx, p)
-		case g.Spent && l.stale(p):
-			p.checked = l.timer.Now()
+		case mayOverrun && l.backup.IsApart():
+			return Unsure, trace.LimitExceeded("no majority of the nodes is heard; other nodes may serve the program without a durable row")
+		case mayOverrun && !fetched:
+			fetched = true
+			l.fetchClaims(ctx, p)
+		case g.Spent && l.mayBeStale(p):
+			p.checkedAt = l.timer.Now()
 			if err := l.readAccount(ctx, p); err != nil {
-				p.known = false
+				p.rowKnown = false
 				return Unsure, err
 			}
 		case g.Spent:
-			l.closeAccount(ctx, p, budget, most)
+			l.closeAccount(ctx, p, budget, maxTokens)
 			return Spent, nil
-		case !g.Durable:
+		case !g.NeedsWrite:
 			p.account = g.Account
 			return Granted, nil
 		default:
@@ -230,35 +238,37 @@
 				return Unsure, err
 			}
 			if written {
-				p.account.Open += most
+				p.account.Open += maxTokens
 				return Granted, nil
 			}
 		}
 	}
 }
 
-// closeAccount notes in the row that a budget is spent for good, once. Without the note other nodes find it out themselves.
-func (l *Ledger) closeAccount(ctx context.Context, p *program, budget, most int) {
-	if !p.account.SpentForGood(budget, most) {
+// closeAccount records in the row that a budget is exhausted, once. If the write fails, other nodes find out by
+// themselves.
+func (l *Ledger) closeAccount(ctx context.Context, p *program, budget, maxTokens int) {
+	if !p.account.IsExhausted(budget, maxTokens) {
 		return
 	}
 	closed := p.account
 	closed.Closed = true
 	if _, err := l.writeAccount(ctx, p, closed); err != nil {
-		l.log.Debug("account not closed", "program", p.id, "error", err)
+		l.log.Debug("exhausted account not closed", "program", p.id, "error", err)
 	}
 }
 
-// stale says whether a refusal needs a newer row: others may have given back what they took.
-func (l *Ledger) stale(p *program) bool {
-	return !p.known || p.account.Others > 0 && l.timer.Now()-p.checked > checkAgain
+// mayBeStale reports whether the row has to be read again before a turn is refused, as other nodes may have returned
+// unused tokens since.
+func (l *Ledger) mayBeStale(p *program) bool {
+	return !p.rowKnown || p.account.Others > 0 && l.timer.Now()-p.checkedAt > recheckAfter
 }
 
-// Close settles a turn; it returns when the turn to keep is durable.
+// Close settles a turn. If the request holds a turn to store, Close returns once that is durable, or with the error.
 func (l *Ledger) Close(ctx context.Context, q CloseRequest) (err error) {
 	defer func() { err = trace.Wrap(err, "turn %s of program %s", q.Attempt, q.Program) }()
 	if q.Turn != nil {
-		if err := l.keep(ctx, q.Program, *q.Turn); err != nil {
+		if err := l.storeTurn(ctx, q.Program, *q.Turn); err != nil {
 			l.settle(q, false)
 			return err
 		}
@@ -267,42 +277,44 @@
 	return nil
 }
 
-// settle books a turn in memory, also for a caller that has gone.
-func (l *Ledger) settle(q CloseRequest, kept bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), openWait)
+// settle releases the reservation of a turn and updates the program in memory. It does not depend on the context of the
+// request, so that the turn is settled even if the caller has left.
+func (l *Ledger) settle(q CloseRequest, stored bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
 	p := l.program(q.Program)
 	if !p.lock(ctx) {
 		return
 	}
 	defer p.unlock()
-	p.touched = l.timer.Now()
+	p.lastUsed = l.timer.Now()
 	if q.Holder == l.id || q.Holder == "" {
 		l.release(p, q.Attempt, q.Used)
 	}
 	if q.Replica != "" {
-		p.cached.read(q.Replica, q.Prompt, q.Used)
+		p.cached.add(q.Replica, q.Prompt, q.Used)
 	}
-	if kept && q.Turn != nil {
+	if stored && q.Turn != nil {
 		p.turns[q.Turn.ID] = *q.Turn
 	}
 }
 
-// writers is the number of programs whose rows are written at the same time; their writes share transactions.
-const writers = 32
+// writeConcurrency is the number of programs whose rows are written concurrently. Their writes share transactions.
+const writeConcurrency = 32
 
-// each does something with all programs in memory, several at a time, and counts those that were done and that failed.
-func (l *Ledger) each(do func(p *program) (done bool, err error)) (done, failed int) {
-	var ok, lost atomic.Int64
+// forEachProgram calls do for all programs in memory, several at a time. It returns the number of calls that reported
+// true and the number that failed.
+func (l *Ledger) forEachProgram(do func(p *program) (done bool, err error)) (done, failed int) {
+	var succeeded, errored atomic.Int64
 	group := errgroup.Group{}
-	group.SetLimit(writers)
+	group.SetLimit(writeConcurrency)
 	for _, p := range l.all() {
 		group.Go(func() error {
 			switch done, err := do(p); {
 			case err != nil:
-				lost.Add(1)
+				errored.Add(1)
 			case done:
-				ok.Add(1)
+				succeeded.Add(1)
 			}
 			return nil
 		})
@@ -310,37 +322,39 @@
 	if err := group.Wait(); err != nil {
 		l.log.Debug("programs not written", "error", err)
 	}
-	return int(ok.Load()), int(lost.Load())
+	return int(succeeded.Load()), int(errored.Load())
 }
 
-// Return gives back what this ledger has taken of budgets and not lent to open turns.
+// Return reduces this ledger's shares of all budgets to what is used or reserved by open turns, so that other nodes can
+// claim the rest. It returns the numbers of rows written and of programs that failed.
 func (l *Ledger) Return(ctx context.Context) (returned, failed int) {
-	return l.each(func(p *program) (done bool, err error) { return l.returnOne(ctx, p) })
+	return l.forEachProgram(func(p *program) (done bool, err error) { return l.returnUnused(ctx, p) })
 }
 
-func (l *Ledger) returnOne(ctx context.Context, p *program) (returned bool, err error) {
+func (l *Ledger) returnUnused(ctx context.Context, p *program) (returned bool, err error) {
 	if !p.lock(ctx) {
 		return false, ctx.Err()
 	}
 	defer p.unlock()
-	if p.account.Left() <= 0 {
+	if p.account.Available() <= 0 {
 		return false, nil
 	}
-	// The write may succeed without an answer, so that nothing of what it returns is used any more.
-	p.account = p.account.Return()
+	// The write may be applied even if no reply arrives, so the returned tokens must not be used from here on.
+	p.account = p.account.ReturnUnused()
 	return l.writeAccount(ctx, p, p.account)
 }
 
-// release closes a turn's reservation; p is locked.
+// release settles a turn's reservation. The caller holds the lock of p. An attempt that is closed before it was opened
+// is remembered, so that its late opening reserves nothing.
 func (l *Ledger) release(p *program, attempt string, used int) {
-	most, ok := p.open[attempt]
+	reserved, ok := p.reservations[attempt]
 	if !ok {
-		p.ended[attempt] = true
+		p.closedEarly[attempt] = true
 		return
 	}
-	delete(p.open, attempt)
-	p.account = p.account.Settle(most, used)
+	delete(p.reservations, attempt)
+	p.account = p.account.Settle(reserved, used)
 }
 
-// String describes the ledger.
+// String names the ledger in logs.
 func (l *Ledger) String() string { return "ledger " + l.id }
--- a/internal/state/hgledger/ledger_test.go
+++ b/internal/state/hgledger/ledger_test.go
@@ -34,7 +34,8 @@
 	return l.Open(context.Background(), hgledger.OpenRequest{Program: program, Attempt: attempt, Previous: previous})
 }
 
-// Each turn continues the one before; the second program goes on from a turn of the first, twice.
+// A new ledger finds the turns that others have stored: of the same program, and of another program whose turn a
+// program continues. Each case runs with two new ledgers; the second reads what the first has copied.
 func TestTurnsOutliveLedgers(t *testing.T) {
 	store := hgstore.NewMemory()
 	first := newLedger(t, "a/1", store)
@@ -75,7 +76,8 @@
 	}
 }
 
-// A turn that its entry VM gave up before this node opened it holds nothing of the budget.
+// The close of a turn that its entry VM has given up may arrive before the opening. The late opening must reserve
+// nothing of the budget.
 func TestWithdrawnBeforeOpened(t *testing.T) {
 	l := newLedger(t, "a/1", hgstore.NewMemory())
 	q := hgledger.OpenRequest{Program: "p", Attempt: "late", Budget: 100, Most: 100, HasBudget: true}
@@ -91,7 +93,7 @@
 	}
 }
 
-// A write whose reply is lost takes nothing of the budget for good.
+// A write whose reply is lost must not reduce the budget for good.
 func TestLostReplyTakesNothing(t *testing.T) {
 	store := hgstore.NewMemory()
 	l := newLedger(t, "a/1", store)
@@ -111,7 +113,7 @@
 	}
 }
 
-// Rows of silent programs are removed, unless another ledger has served them since.
+// Rows of unused programs are deleted, unless another ledger has served them since.
 func TestForget(t *testing.T) {
 	tests := map[string]struct {
 		served bool
@@ -147,11 +149,12 @@
 	}
 }
 
-// budgetRounds is the number of rounds of rapid's hundred checks; the loss of all nodes in an outage needs thousands.
+// budgetRounds is the number of rounds of 100 rapid checks each. It takes thousands of checks to meet the loss of all
+// nodes during an outage.
 const budgetRounds = 40
 
-// Over any nodes, restarts, losses of all nodes and faults of the store, callers get no more than the budget and one
-// turn's most.
+// Callers get no more than the budget plus the maximum of one turn, whichever nodes serve them, over restarts, the loss
+// of all nodes and faults of the store.
 func TestBudgetHolds(t *testing.T) {
 	for range budgetRounds {
 		rapid.Check(t, budgetHolds)
@@ -165,13 +168,13 @@
 	defer timer.Close()
 	budget := rapid.IntRange(most, 12*most).Draw(t, "budget")
 	starts := 0
-	live := &peers{}
+	backup := &peers{}
 	start := func(first bool) *hgledger.Ledger {
 		starts++
 		return hgledger.NewLedger(fmt.Sprint(starts), store, timer, hglog.Discard(), hgledger.WithRetryAfter(time.Microsecond),
-			hgledger.WithBackup(live), hgledger.WithComplete(first))
+			hgledger.WithBackup(backup), hgledger.WithComplete(first))
 	}
-	live.all = []*hgledger.Ledger{start(true), start(true)}
+	backup.all = []*hgledger.Ledger{start(true), start(true)}
 	type opened struct {
 		at     *hgledger.Ledger
 		holder string
@@ -179,7 +182,7 @@
 		most   int
 	}
 	var running []opened
-	handed, turns := 0, 0
+	delivered, turns := 0, 0
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		i := rapid.IntRange(0, 1).Draw(t, "node")
 		step := rapid.SampledFrom([]string{"open", "open", "open", "outage", "outage", "outage", "outage", "close", "close", "restart", "loss", "lose", "save"}).Draw(t, "step")
@@ -189,14 +192,14 @@
 			id := fmt.Sprint(turns)
 			offline := step == "outage"
 			store.SetFault(hgstore.Fault{Down: offline})
-			r := live.except(i).Open(context.Background(), hgledger.OpenRequest{
+			r := backup.setAsker(i).Open(context.Background(), hgledger.OpenRequest{
 				Program: "p", Attempt: id, Budget: budget, Most: most, HasBudget: true, Offline: offline,
 			})
 			store.SetFault(hgstore.Fault{})
-			// Heartbeats tell peers of new programs.
-			live.all[1-i].Learn(live.all[i].Seen(), false)
+			// Heartbeats report new programs to peers.
+			backup.all[1-i].Learn(backup.all[i].Seen(), false)
 			if r.Verdict == hgledger.Granted {
-				running = append(running, opened{live.all[i], r.Holder, id, r.Most})
+				running = append(running, opened{backup.all[i], r.Holder, id, r.Most})
 			}
 		case "close":
 			if len(running) == 0 {
@@ -205,23 +208,23 @@
 			o := running[0]
 			running = running[1:]
 			used := rapid.IntRange(0, o.most).Draw(t, "used")
-			handed += used
+			delivered += used
 			if err := o.at.Close(context.Background(), hgledger.CloseRequest{Program: "p", Attempt: o.id, Holder: o.holder, Used: used}); err != nil {
 				t.Fatal(err)
 			}
 		case "restart":
-			live.all[i] = start(false)
-			programs, complete := live.all[1-i].AllSeen()
-			live.all[i].Learn(programs, complete)
+			backup.all[i] = start(false)
+			programs, complete := backup.all[1-i].AllSeen()
+			backup.all[i].Learn(programs, complete)
 		case "loss":
-			live.all = []*hgledger.Ledger{start(false), start(false)}
+			backup.all = []*hgledger.Ledger{start(false), start(false)}
 		case "lose":
 			store.SetFault(hgstore.Fault{LoseReplies: 1})
 		case "save":
-			live.all[i].Save(context.Background())
+			backup.all[i].Save(context.Background())
 		}
 	}
-	worst := handed
+	worst := delivered
 	for _, o := range running {
 		worst += o.most
 	}
--- a/internal/state/hgledger/offline.go
+++ b/internal/state/hgledger/offline.go
@@ -8,137 +8,151 @@
 	"github.com/samber/lo"
 )
 
-// Backup is the peers of a ledger while it cannot write what it takes of budgets.
+// Backup gives a ledger access to its peers, which hold copies of its claims while it cannot write them to the store.
 type Backup interface {
-	// Ask returns how many peers have no part in a program, have one, and do not answer.
+	// Ask asks all peers whether they hold a share of a program's budget, and counts their answers.
 	Ask(ctx context.Context, q SoleRequest) Answers
-	// Troubled says whether a peer has lately been without the store, or has taken tokens without a row.
+	// Troubled reports whether this node or a peer has recently been without the store or has unsaved claims.
 	Troubled() bool
-	// IsApart says whether this ledger hears no majority of all nodes, so that the others may hold it for gone.
+	// IsApart reports whether this node hears no majority of all nodes, so that the others may take it for dead.
 	IsApart() bool
-	// Copy returns how many peers hold a copy.
+	// Copy sends a copy of a claim to peers and returns how many of them hold it.
 	Copy(ctx context.Context, c Copy) (copies int)
 }
 
-// SoleRequest asks a peer whether it has no part in a program; New demands that it has not heard of it either.
+// SoleRequest asks a peer whether it knows of any claim on a program's budget. Peers exchange it with encoding/gob
+// under its Go field names.
 type SoleRequest struct {
 	Program string
-	New     bool
+	// New is set if the asking ledger takes the program for new: the peer then replies Sole only if it does not know of
+	// the program at all.
+	New bool
 }
 
-// SoleReply says whether a ledger has no part in a program, and what it knows to be taken of the budget, by ledger.
+// SoleReply is the answer to a SoleRequest. Peers exchange it with encoding/gob under its Go field names.
 type SoleReply struct {
-	Sole  bool
+	// Sole is set if the peer knows of no claims on the budget.
+	Sole bool
+	// Taken maps ledgers to the claims that the peer knows of, in tokens.
 	Taken map[string]int
 }
 
-// Answers counts the answers of peers to a SoleRequest, and joins what they know to be taken.
+// Answers summarizes the answers of all peers to a SoleRequest.
 type Answers struct {
+	// Sole counts the peers that replied with Sole, Part those that replied without, and None those that did not
+	// answer.
 	Sole, Part, None int
-	Taken            map[string]int
+	// Taken maps ledgers to the largest claim that any peer knows of, in tokens.
+	Taken map[string]int
 }
 
-// Add counts an answer.
+// Add adds the reply of one peer.
 func (a *Answers) Add(r SoleReply) {
 	if r.Sole {
 		a.Sole++
 		return
 	}
 	a.Part++
-	a.Taken = mostTaken(a.Taken, r.Taken)
+	a.Taken = maxClaims(a.Taken, r.Taken)
 }
 
-// mostTaken joins two accounts of what ledgers have taken.
-func mostTaken(a, b map[string]int) map[string]int {
+// maxClaims merges two maps of claims by ledger and keeps the larger claim of each ledger.
+func maxClaims(a, b map[string]int) map[string]int {
 	all := lo.Assign(a)
-	for ledger, taken := range b {
-		all[ledger] = max(all[ledger], taken)
+	for ledger, claim := range b {
+		all[ledger] = max(all[ledger], claim)
 	}
 	return all
 }
 
-// Copy says what a ledger has taken of a program's budget without a durable row.
+// Copy is a copy of a ledger's claim on a program's budget that is not in a durable row. Peers exchange it with
+// encoding/gob under its Go field names.
 type Copy struct {
 	Program, Ledger string
 	Taken           int
 }
 
-// peerTime bounds the questions and copies to peers, which are half a millisecond away.
-const peerTime = 150 * time.Millisecond
+// peerTimeout bounds requests to peers. The latency between peers is half a millisecond.
+const peerTimeout = 150 * time.Millisecond
 
-// minCap is the least length of a turn, in tokens, that is worth running when the caller gives no estimate.
-const minCap = 100
+// minReservation is the smallest number of tokens that reserveOffline reserves for a turn whose maximum is not smaller.
+// A turn with fewer tokens is not worth running if the caller gives no estimate. An estimate raises the bound only.
+const minReservation = 100
 
-// reserveOffline takes tokens of a budget while the store, or the program's part of it, is out of reach, and returns
-// the most that the turn may hand out. What has been taken before is used. For a new program in which no other node has
-// a part, one turn's most is taken without a row, once: if all copies of that are lost as well, callers have got no more
-// than that beyond the budget. Peers hold copies, which they write when the store is back even if this ledger is gone.
-func (l *Ledger) reserveOffline(ctx context.Context, p *program, q OpenRequest, isNew bool) (most int, v Verdict) {
+// reserveOffline reserves tokens for a turn while the store, or the program's partition of it, is unreachable, and
+// returns their number. It uses the share that this ledger has claimed before.
+//
+// For a new program of which no other node holds a share, the maximum of one turn is claimed without a durable row,
+// once. Peers hold copies of that claim and write them when the store is reachable again, even if this ledger has died.
+// If all copies are lost as well, the budget is exceeded by no more than that one turn.
+func (l *Ledger) reserveOffline(ctx context.Context, p *program, q OpenRequest, isNew bool) (reserved int, v Verdict) {
 	if p.account.Closed {
 		return 0, Spent
 	}
 	a := p.account
-	if a.Mine == 0 && a.Others == 0 && !q.KnownOnly && q.Most <= q.Budget && l.isSole(ctx, p, isNew) {
+	if a.Mine == 0 && a.Others == 0 && !q.KnownOnly && q.Most <= q.Budget && l.isSoleHolder(ctx, p, isNew) {
 		a.Mine = q.Most
-		ctx, cancel := context.WithTimeout(ctx, peerTime)
+		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
 		copies := l.backup.Copy(ctx, Copy{Program: p.id, Ledger: l.id, Taken: a.Mine})
 		if copies == 0 {
 			return 0, Outage
 		}
-		l.markUnsaved(p, true)
-		l.log.Info("taken without a row", "program", p.id, "attempt", q.Attempt, "taken", a.Mine, "copies", copies)
+		l.setUnsaved(p, true)
+		l.log.Info("budget claimed without a durable row", "program", p.id, "attempt", q.Attempt, "taken", a.Mine, "copies", copies)
 	}
-	most = min(q.Most, a.Left())
-	if most < min(q.Most, max(q.Estimate, minCap)) || q.Whole && most < q.Most {
+	reserved = min(q.Most, a.Available())
+	if reserved < min(q.Most, max(q.Estimate, minReservation)) || q.Whole && reserved < q.Most {
 		return 0, Outage
 	}
-	a.Open += most
+	a.Open += reserved
 	p.account = a
-	return most, Granted
+	return reserved, Granted
 }
 
-// isSole says whether no other node has a part in a program, and none takes one while the store is out of reach.
-func (l *Ledger) isSole(ctx context.Context, p *program, isNew bool) bool {
+// isSoleHolder reports whether a program is new and all peers, at least one, have answered that they do not know of it.
+// Then no other node holds a share of its budget, and none claims one while the store is unreachable.
+func (l *Ledger) isSoleHolder(ctx context.Context, p *program, isNew bool) bool {
 	if l.backup == nil || !isNew {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerTime)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	a := l.backup.Ask(ctx, SoleRequest{Program: p.id, New: true})
-	l.log.Info("peers asked for a part", "program", p.id, "without", a.Sole, "with", a.Part, "silent", a.None)
+	l.log.Info("peers asked for shares of the budget", "program", p.id, "without", a.Sole, "with", a.Part, "silent", a.None)
 	return a.Sole > 0 && a.Part == 0 && a.None == 0
 }
 
-// learnTaken asks peers what they have taken of a program of which this ledger knows no row, if they may not yet have
-// written what they took while the store was out of reach.
-func (l *Ledger) learnTaken(ctx context.Context, p *program) {
-	if !p.known && l.backup != nil && l.backup.Troubled() {
-		l.askTaken(ctx, p)
+// fetchUnsavedClaims asks peers for their claims on a program whose row this ledger does not know, if peers may hold
+// claims from an outage of the store that they have not yet written.
+func (l *Ledger) fetchUnsavedClaims(ctx context.Context, p *program) {
+	if !p.rowKnown && l.backup != nil && l.backup.Troubled() {
+		l.fetchClaims(ctx, p)
 	}
 }
 
-// askTaken asks peers what they have taken of a program.
-func (l *Ledger) askTaken(ctx context.Context, p *program) {
-	ctx, cancel := context.WithTimeout(ctx, peerTime)
+// fetchClaims asks peers for all claims on a program's budget that they know of.
+func (l *Ledger) fetchClaims(ctx context.Context, p *program) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	if a := l.backup.Ask(ctx, SoleRequest{Program: p.id}); len(a.Taken) > 0 {
-		l.takeCopies(p, a.Taken)
+		l.mergeCopies(p, a.Taken)
 	}
 }
 
-// takeCopies holds what other ledgers have taken until the row says as much.
-func (l *Ledger) takeCopies(p *program, taken map[string]int) {
-	p.copied = l.timer.Now()
-	p.copies = mostTaken(p.copies, taken)
-	l.reload(p, p.row, p.version, p.known)
+// mergeCopies keeps copies of the claims of other ledgers until the row records them.
+func (l *Ledger) mergeCopies(p *program, claims map[string]int) {
+	p.copiedAt = l.timer.Now()
+	p.copies = maxClaims(p.copies, claims)
+	l.reload(p, p.row, p.version, p.rowKnown)
 }
 
-// Unsaved says whether this ledger has taken tokens that no row tells of, or none in the program's own part.
-func (l *Ledger) Unsaved() bool { return l.unsaved.Load() > 0 || l.bypassedLately() }
+// Unsaved reports whether this ledger holds claims that are not in a durable row, or has recently moved an account to
+// an alternate partition, where peers that have not seen the marker do not look.
+func (l *Ledger) Unsaved() bool { return l.unsaved.Load() > 0 || l.failedOverRecently() }
 
-// markUnsaved sets whether a program's row tells less than was taken.
-func (l *Ledger) markUnsaved(p *program, unsaved bool) {
+// setUnsaved sets whether this ledger has claimed more of the program's budget than the row records.
+func (l *Ledger) setUnsaved(p *program, unsaved bool) {
 	switch {
 	case unsaved && !p.unsaved:
 		l.unsaved.Add(1)
@@ -148,68 +162,71 @@
 	p.unsaved = unsaved
 }
 
-// Part answers a peer's question about a program.
+// Part answers a peer's SoleRequest. If the program's lock is not free in time, the reply is not Sole.
 func (l *Ledger) Part(ctx context.Context, q SoleRequest) (r SoleReply) {
 	p, ok := l.find(q.Program)
 	if !ok {
-		return SoleReply{Sole: !q.New || !l.seen.knows(q.Program)}
+		return SoleReply{Sole: !q.New || !l.known.contains(q.Program)}
 	}
 	if !p.lock(ctx) {
 		return r
 	}
 	defer p.unlock()
-	if r.Taken = l.taken(p); p.account.Mine > 0 {
+	if r.Taken = l.claims(p); p.account.Mine > 0 {
 		r.Taken[l.id] = p.account.Mine
 	}
-	r.Sole = len(r.Taken) == 0 && (!q.New || !l.seen.knows(q.Program))
+	r.Sole = len(r.Taken) == 0 && (!q.New || !l.known.contains(q.Program))
 	return r
 }
 
-// TakeCopy holds a copy for a peer until the row says as much.
+// TakeCopy keeps a copy of a peer's claim until the row records it. It returns false if the program's lock is not free
+// in time.
 func (l *Ledger) TakeCopy(ctx context.Context, c Copy) (ok bool) {
 	p := l.program(c.Program)
 	if !p.lock(ctx) {
 		return false
 	}
 	defer p.unlock()
-	p.touched = l.timer.Now()
-	l.takeCopies(p, map[string]int{c.Ledger: c.Taken})
-	l.seen.note(c.Program, p.touched)
+	p.lastUsed = l.timer.Now()
+	l.mergeCopies(p, map[string]int{c.Ledger: c.Taken})
+	l.known.add(c.Program, p.lastUsed)
 	return true
 }
 
-// copyAge is how long a copy waits for its ledger to write the row itself.
-const copyAge = 2 * time.Second
+// copyGrace is how long the holder of a copy leaves it to the claiming ledger to write the row.
+const copyGrace = 2 * time.Second
 
-// Save writes what was taken while the store was out of reach, by this ledger or by peers that have not done so.
+// Save writes claims that were made while the store was unreachable: those of this ledger, and copies of claims that
+// peers have not written within copyGrace. It returns the numbers of programs that were saved and that failed.
 func (l *Ledger) Save(ctx context.Context) (saved, left int) {
-	return l.each(func(p *program) (done bool, err error) {
-		if l.commit.isDown(p.at) {
+	return l.forEachProgram(func(p *program) (done bool, err error) {
+		if l.committer.isUnreachable(p.partition) {
 			return false, nil
 		}
 		if !p.lock(ctx) {
 			return false, ctx.Err()
 		}
 		defer p.unlock()
-		return l.save(ctx, p)
+		return l.saveProgram(ctx, p)
 	})
 }
 
-func (l *Ledger) save(ctx context.Context, p *program) (saved bool, err error) {
-	due := len(p.copies) > 0 && l.timer.Now()-p.copied > copyAge
+// saveProgram writes the unsaved claims on one program; p is locked.
+func (l *Ledger) saveProgram(ctx context.Context, p *program) (saved bool, err error) {
+	due := len(p.copies) > 0 && l.timer.Now()-p.copiedAt > copyGrace
 	if !p.unsaved && !due {
 		return false, nil
 	}
 	if err := l.readAccount(ctx, p); err != nil {
 		return false, err
 	}
-	missing := lo.PickBy(p.copies, func(ledger string, taken int) bool { return p.row.Taken[ledger] < taken })
+	missing := lo.PickBy(p.copies, func(ledger string, claim int) bool { return p.row.Taken[ledger] < claim })
 	if len(missing) > 0 || p.account.Mine > p.row.Taken[l.id] {
 		if written, err := l.writeAccount(ctx, p, p.account); err != nil || !written {
 			return false, trace.CompareFailed("row of program %s changed: %v", p.id, err)
 		}
 	}
-	l.markUnsaved(p, false)
+	l.setUnsaved(p, false)
 	clear(p.copies)
 	return true, nil
 }
--- a/internal/state/hgledger/options.go
+++ b/internal/state/hgledger/options.go
@@ -2,30 +2,34 @@
 
 import "time"
 
-// retryAfter is the pause after a refusal of the store, which is a matter of its rate or of an outage.
+// retryAfter is the base pause before a failed write is retried. The store refuses writes that exceed its rate limit,
+// and during an outage.
 const retryAfter = 40 * time.Millisecond
 
 type options struct {
-	retryAfter time.Duration
-	backup     Backup
-	complete   bool
-	markers    bool
+	retryAfter   time.Duration
+	backup       Backup
+	complete     bool
+	awaitMarkers bool
 }
 
-// Option sets up a ledger.
+// Option configures a ledger.
 type Option func(o *options)
 
-// WithRetryAfter sets the pause between two tries of a write.
+// WithRetryAfter sets the base pause between two attempts of a write; it doubles while the store keeps failing.
 func WithRetryAfter(d time.Duration) Option { return func(o *options) { o.retryAfter = d } }
 
-// WithBackup sets the peers that hold what is taken while the store is out of reach; without them nothing is.
+// WithBackup sets the peers that hold copies of claims made while the store is unreachable. Without peers no such
+// claims are made.
 func WithBackup(b Backup) Option { return func(o *options) { o.backup = b } }
 
-// WithComplete says that no program was ever served before, as at the first start of a site.
-func WithComplete(first bool) Option { return func(o *options) { o.complete = first } }
+// WithComplete tells the ledger whether it knows all programs served so far, as at the first start of a site, when
+// there are none.
+func WithComplete(complete bool) Option { return func(o *options) { o.complete = complete } }
 
-// WithMarkers says that SetMarkers will be called; until then no program without a known row is served.
-func WithMarkers() Option { return func(o *options) { o.markers = true } }
+// WithMarkers announces that SetMarkers will be called. Until then no budget is granted for a program whose row has not
+// been read.
+func WithMarkers() Option { return func(o *options) { o.awaitMarkers = true } }
 
 func newOptions(opts []Option) options {
 	o := options{retryAfter: retryAfter}
--- a/internal/state/hgledger/outage_test.go
+++ b/internal/state/hgledger/outage_test.go
@@ -15,24 +15,25 @@
 	"hyssopgrade/internal/state/hgturn"
 )
 
-// peers is a backup of ledgers in the same process; asking is the one that asks the others.
+// peers is a Backup of ledgers in the same process. If hasAsker is set, all[asker] is the ledger that asks the others;
+// otherwise the asking ledger is not among them.
 type peers struct {
-	all    []*hgledger.Ledger
-	asking int
-	some   bool
+	all      []*hgledger.Ledger
+	asker    int
+	hasAsker bool
 }
 
-// except returns a ledger, as the one that asks the others.
-func (p *peers) except(i int) *hgledger.Ledger {
-	p.asking, p.some = i, true
+// setAsker makes a ledger the one that asks the others, and returns it.
+func (p *peers) setAsker(i int) *hgledger.Ledger {
+	p.asker, p.hasAsker = i, true
 	return p.all[i]
 }
 
 func (p *peers) others() []*hgledger.Ledger {
-	if !p.some {
+	if !p.hasAsker {
 		return p.all
 	}
-	return append(append([]*hgledger.Ledger(nil), p.all[:p.asking]...), p.all[p.asking+1:]...)
+	return append(append([]*hgledger.Ledger(nil), p.all[:p.asker]...), p.all[p.asker+1:]...)
 }
 
 func (p *peers) Copy(ctx context.Context, c hgledger.Copy) (copies int) {
@@ -55,18 +56,18 @@
 
 func (p *peers) IsApart() bool { return false }
 
-func newPeered(t *testing.T, id string, store hgstore.Table, p *peers) *hgledger.Ledger {
+func newLedgerWithPeers(t *testing.T, id string, store hgstore.Table, p *peers) *hgledger.Ledger {
 	timer := hgtimer.NewService()
 	t.Cleanup(timer.Close)
 	return hgledger.NewLedger(id, store, timer, hglog.Discard(), hgledger.WithRetryAfter(time.Millisecond),
 		hgledger.WithBackup(p), hgledger.WithComplete(true))
 }
 
-// An outage of the store: a new program is served and its budget holds over the death of the node that served it.
+// During an outage of the store a new program is served, and its budget holds even if the node that served it dies.
 func TestOutage(t *testing.T) {
 	store := hgstore.NewMemory()
-	second := newPeered(t, "b", store, &peers{})
-	first := newPeered(t, "a", store, &peers{all: []*hgledger.Ledger{second}})
+	second := newLedgerWithPeers(t, "b", store, &peers{})
+	first := newLedgerWithPeers(t, "a", store, &peers{all: []*hgledger.Ledger{second}})
 	ask := func(l *hgledger.Ledger, program, attempt string, offline bool) hgledger.Verdict {
 		return l.Open(context.Background(), hgledger.OpenRequest{
 			Program: program, Attempt: attempt, Budget: 250, Most: 100, HasBudget: true, Offline: offline,
@@ -85,31 +86,31 @@
 	if err := first.Close(context.Background(), close); err != nil {
 		t.Fatal(err)
 	}
-	want(ask(first, "new", "3", true), hgledger.Outage, "a turn that may be longer than what is left")
+	want(ask(first, "new", "3", true), hgledger.Outage, "a turn that may be longer than the rest of the share")
 	short := first.Open(context.Background(), hgledger.OpenRequest{
 		Program: "new", Attempt: "4", Budget: 250, Most: 100, HasBudget: true, Offline: true, Estimate: 50,
 	})
 	if short.Verdict != hgledger.Outage {
 		t.Errorf("a short turn below the least length: %s", short.Verdict)
 	}
-	want(ask(newPeered(t, "c", store, &peers{}), "other", "1", true), hgledger.Outage, "a node without peers")
+	want(ask(newLedgerWithPeers(t, "c", store, &peers{}), "other", "1", true), hgledger.Outage, "a node without peers")
 	store.SetFault(hgstore.Fault{})
-	// The first node is gone; its peer writes the copy, so that a third one knows of it.
+	// The first node has died. Its peer writes the copy of its claim, so that a third node reads it.
 	time.Sleep(2100 * time.Millisecond)
 	if saved, left := second.Save(context.Background()); saved != 1 || left != 0 {
 		t.Errorf("saved %d, left %d", saved, left)
 	}
-	third := newPeered(t, "d", store, &peers{})
-	want(ask(third, "new", "5", false), hgledger.Granted, "one turn beside what was taken")
-	want(ask(third, "new", "6", false), hgledger.Granted, "one more, as what was taken may be unused")
-	want(ask(third, "new", "7", false), hgledger.Spent, "a turn beyond")
+	third := newLedgerWithPeers(t, "d", store, &peers{})
+	want(ask(third, "new", "5", false), hgledger.Granted, "one turn beside the claim")
+	want(ask(third, "new", "6", false), hgledger.Granted, "one more turn, as the claim may be unused")
+	want(ask(third, "new", "7", false), hgledger.Spent, "a turn beyond the budget")
 }
 
-// A program that was served nearby is no new one, whoever served it.
+// A program that a peer has served is not new: a node without a share of its budget grants nothing without the store.
 func TestOutageKnownProgram(t *testing.T) {
 	store := hgstore.NewMemory()
-	second := newPeered(t, "b", store, &peers{})
-	first := newPeered(t, "a", store, &peers{all: []*hgledger.Ledger{second}})
+	second := newLedgerWithPeers(t, "b", store, &peers{})
+	first := newLedgerWithPeers(t, "a", store, &peers{all: []*hgledger.Ledger{second}})
 	q := hgledger.OpenRequest{Program: "p", Attempt: "1", Budget: 100, Most: 100, HasBudget: true}
 	if v := second.Open(context.Background(), q).Verdict; v != hgledger.Granted {
 		t.Fatal(v)
@@ -121,12 +122,12 @@
 	}
 }
 
-// After an outage a node that knows nothing of a program hears from peers what was taken meanwhile and not yet written.
+// After an outage a node that does not know a program fetches from its peers the claims that are not yet in the row.
 func TestOutageEnds(t *testing.T) {
 	store := hgstore.NewMemory()
 	all := &peers{}
-	first, second := newPeered(t, "a", store, all), newPeered(t, "b", store, all)
-	third := newPeered(t, "c", store, &peers{})
+	first, second := newLedgerWithPeers(t, "a", store, all), newLedgerWithPeers(t, "b", store, all)
+	third := newLedgerWithPeers(t, "c", store, &peers{})
 	all.all = []*hgledger.Ledger{third}
 	q := hgledger.OpenRequest{Program: "p", Attempt: "1", Budget: 250, Most: 100, HasBudget: true, Offline: true}
 	want := func(l *hgledger.Ledger, attempt string, want hgledger.Verdict) {
@@ -137,7 +138,7 @@
 		}
 	}
 	want(first, "1", hgledger.Granted)
-	// 100 are taken and not written; one turn fits beside them, and one more if they are not used.
+	// A claim of 100 tokens is unsaved. One turn fits beside it, and one more in case the claim is unused.
 	q.Offline = false
 	want(second, "2", hgledger.Granted)
 	want(second, "3", hgledger.Granted)
@@ -145,17 +146,18 @@
 	if saved, left := first.Save(context.Background()); saved != 1 || left != 0 || first.Unsaved() {
 		t.Errorf("saved %d, left %d", saved, left)
 	}
-	want(newPeered(t, "d", store, &peers{}), "5", hgledger.Spent)
+	want(newLedgerWithPeers(t, "d", store, &peers{}), "5", hgledger.Spent)
 }
 
-// Two nodes that both hear of a program do not both take of its budget; one without a part asks those that have one.
+// Two nodes must not both claim tokens of a program's budget during an outage: a node without a share asks its peers
+// for theirs.
 func TestOutageTwoNodes(t *testing.T) {
 	tests := map[string]bool{"new at both": false, "known at the other one only": true}
 	for name, before := range tests {
 		t.Run(name, func(t *testing.T) {
 			store := hgstore.NewMemory()
 			all := &peers{}
-			first, second := newPeered(t, "a", store, all), newPeered(t, "b", store, &peers{})
+			first, second := newLedgerWithPeers(t, "a", store, all), newLedgerWithPeers(t, "b", store, &peers{})
 			q := hgledger.OpenRequest{Program: "p", Attempt: "1", Budget: 1000, Most: 100, HasBudget: true}
 			if before {
 				if v := second.Open(context.Background(), q).Verdict; v != hgledger.Granted {
@@ -175,7 +177,7 @@
 	}
 }
 
-// While a part of the store stays without answers, its programs keep their turns in other parts.
+// While partitions of the store do not answer, the turns of their programs are stored in alternate partitions.
 func TestSilentPart(t *testing.T) {
 	store := hgstore.NewMemory()
 	first := newLedger(t, "a", store)
@@ -211,11 +213,11 @@
 	}
 }
 
-// While its part of the store stays without answers, a new program's account is durable in another part: the budget
-// holds after all nodes were lost.
+// While a new program's home partition does not answer, its account is durable in an alternate partition. The budget
+// holds even if all nodes are lost afterwards.
 func TestSilentPartBudget(t *testing.T) {
 	store := hgstore.NewMemory()
-	first := newPeered(t, "a", store, &peers{all: []*hgledger.Ledger{newPeered(t, "b", store, &peers{})}})
+	first := newLedgerWithPeers(t, "a", store, &peers{all: []*hgledger.Ledger{newLedgerWithPeers(t, "b", store, &peers{})}})
 	var silent []string
 	for i := range 16 {
 		if i%4 == 0 {
@@ -224,17 +226,17 @@
 	}
 	store.SetFault(hgstore.Fault{Silent: silent})
 	const budget, most, programs = 300, 100, 24
-	handed := map[string]int{}
+	delivered := map[string]int{}
 	spend := func(l *hgledger.Ledger) {
 		for p := range programs {
 			program := fmt.Sprint("p", p)
 			for range 4 {
-				q := hgledger.OpenRequest{Program: program, Attempt: fmt.Sprint(program, handed[program], len(handed)), Budget: budget, Most: most, HasBudget: true}
+				q := hgledger.OpenRequest{Program: program, Attempt: fmt.Sprint(program, delivered[program], len(delivered)), Budget: budget, Most: most, HasBudget: true}
 				r := l.Open(context.Background(), q)
 				if r.Verdict != hgledger.Granted {
 					continue
 				}
-				handed[program] += r.Most
+				delivered[program] += r.Most
 				err := l.Close(context.Background(), hgledger.CloseRequest{Program: program, Attempt: q.Attempt, Holder: r.Holder, Used: r.Most})
 				if err != nil {
 					t.Fatal(err)
@@ -245,8 +247,8 @@
 	spend(first)
 	spend(first)
 	for p := range programs {
-		if n := handed[fmt.Sprint("p", p)]; n < most {
-			t.Errorf("program %d got %d tokens while parts are silent", p, n)
+		if n := delivered[fmt.Sprint("p", p)]; n < most {
+			t.Errorf("program %d got %d tokens while partitions do not answer", p, n)
 		}
 	}
 	store.SetFault(hgstore.Fault{})
@@ -255,36 +257,37 @@
 		t.Fatal(err)
 	}
 	if len(rows) == 0 {
-		t.Error("no account was kept in another part")
+		t.Error("no account was kept in an alternate partition")
 	}
 	for range 2 {
-		again := newLedger(t, fmt.Sprint("c", handed["p0"]), store)
+		again := newLedger(t, fmt.Sprint("c", delivered["p0"]), store)
 		again.SetMarkers(lo.KeyBy(rows, func(r hgstore.Row) string { return r.Key }))
 		spend(again)
 	}
 	for p := range programs {
-		if n := handed[fmt.Sprint("p", p)]; n < budget || n > budget+most {
+		if n := delivered[fmt.Sprint("p", p)]; n < budget || n > budget+most {
 			t.Errorf("program %d got %d tokens of a budget of %d", p, n, budget)
 		}
 	}
 }
 
-// A ledger without the store grants what it has taken before; where another one could take more it grants a whole turn or
-// nothing, so that no turn is cut that could have run to its end.
+// A ledger without the store grants tokens of the share that it has claimed before. While another ledger could claim
+// more, it grants the whole maximum of a turn or nothing: a smaller grant could cut a turn that the other one lets run
+// to its end.
 func TestOutageWhole(t *testing.T) {
 	tests := map[string]struct {
 		used  int
 		whole bool
 		want  hgledger.Verdict
 	}{
-		"enough is left":                {40, true, hgledger.Granted},
-		"too little is left":            {180, true, hgledger.Outage},
-		"too little, but there is none": {180, false, hgledger.Granted},
+		"enough is left":                  {40, true, hgledger.Granted},
+		"too little is left":              {180, true, hgledger.Outage},
+		"too little, but no other ledger": {180, false, hgledger.Granted},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			store := hgstore.NewMemory()
-			l := newPeered(t, "a", store, &peers{})
+			l := newLedgerWithPeers(t, "a", store, &peers{})
 			q := hgledger.OpenRequest{Program: "p", Attempt: "1", Budget: 500, Most: 200, HasBudget: true}
 			if v := l.Open(t.Context(), q).Verdict; v != hgledger.Granted {
 				t.Fatal(v)
--- a/internal/state/hgledger/program.go
+++ b/internal/state/hgledger/program.go
@@ -11,82 +11,88 @@
 	"hyssopgrade/internal/state/hgturn"
 )
 
-// program is a program in memory. Its lock is held while its row is written, so that turns of one program wait for
-// each other's reservation instead of colliding.
+// program is the state of a program in memory. Its lock is held while its row is written, so that concurrent turns of
+// one program wait for each other's reservation instead of failing on version conflicts.
 type program struct {
-	id   string
-	held chan struct{}
+	id string
+	// sem is the lock: it holds an element while the program is locked.
+	sem chan struct{}
 
-	// isNew says that nobody nearby had served the program before this ledger first did.
+	// isNew is set if neither this ledger nor a peer that reports its programs to it had served the program before.
 	isNew bool
-	// at is the part that the account's row lies in.
-	at int
-	// known says that row and version are those of a read or a write that succeeded; version 0 means that there is none.
-	known   bool
-	version uint64
-	row     accountRow
-	account hgaccount.Account
-	// unsaved says that account.Mine is more than the row says, as it was taken while the store was out of reach.
+	// partition is the partition of the store that holds the account's row.
+	partition int
+	// rowKnown is set if row and version are the result of the last read or write. Version 0 means that no row exists.
+	rowKnown bool
+	version  uint64
+	row      accountRow
+	account  hgaccount.Account
+	// unsaved is set if account.Mine exceeds the claim in the row, as tokens were claimed while the store was
+	// unreachable.
 	unsaved bool
-	// copies is what peers have taken without a row, by ledger, and copied when the last of them came.
-	copies map[string]int
-	copied time.Duration
-	// checked is when the row was last read for a refusal.
-	checked time.Duration
-	// open holds the most of each open turn, by attempt.
-	open map[string]int
-	// ended holds attempts that were closed here before they were opened, as their entry VM had given up.
-	ended map[string]bool
-	turns hgturn.Tree
-	// cached is what the replicas keep of the program's prompts.
-	cached  cache
-	touched time.Duration
+	// copies holds claims that peers have made without a durable row, by ledger. copiedAt is when the last of them
+	// arrived.
+	copies   map[string]int
+	copiedAt time.Duration
+	// checkedAt is when the row was last read before a refusal.
+	checkedAt time.Duration
+	// reservations maps the attempts of open turns to their reserved tokens.
+	reservations map[string]int
+	// closedEarly holds attempts that were closed here before they were opened, as their entry VM had given up on them.
+	closedEarly map[string]bool
+	turns       hgturn.Tree
+	// cached estimates which tokens of the program's prompts the replicas have cached.
+	cached   cachedPrompts
+	lastUsed time.Duration
 }
 
+// shard is a part of the map of programs, with its own lock.
 type shard struct {
 	mu       sync.Mutex
 	programs map[string]*program
 }
 
+// program returns a program and adds it if it is not in memory.
 func (l *Ledger) program(id string) *program {
-	s := &l.shards[hash(id)%shards]
+	s := &l.shards[hash(id)%numShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.programs[id]
 	if !ok {
 		p = &program{
-			id: id, at: part(id), held: make(chan struct{}, 1), open: map[string]int{}, ended: map[string]bool{}, copies: map[string]int{}, turns: hgturn.Tree{}, cached: cache{},
-			touched: l.timer.Now(),
+			id: id, partition: homePartition(id), sem: make(chan struct{}, 1), reservations: map[string]int{}, closedEarly: map[string]bool{}, copies: map[string]int{}, turns: hgturn.Tree{}, cached: cachedPrompts{},
+			lastUsed: l.timer.Now(),
 		}
 		s.programs[id] = p
 	}
 	return p
 }
 
-// find returns a program that is in memory.
+// find returns a program if it is in memory.
 func (l *Ledger) find(id string) (p *program, ok bool) {
-	s := &l.shards[hash(id)%shards]
+	s := &l.shards[hash(id)%numShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok = s.programs[id]
 	return p, ok
 }
 
+// lock returns false if the context ends before the lock is free.
 func (p *program) lock(ctx context.Context) bool {
 	select {
-	case p.held <- struct{}{}:
+	case p.sem <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// isUnserved says whether this ledger has served no turn of the program.
+// isUnserved reports whether this ledger has served no turn of the program.
 func (p *program) isUnserved() bool {
-	return p.account.Used == 0 && len(p.open) == 0 && len(p.turns) == 0 && len(p.cached) == 0
+	return p.account.Used == 0 && len(p.reservations) == 0 && len(p.turns) == 0 && len(p.cached) == 0
 }
 
-func (p *program) unlock() { <-p.held }
+func (p *program) unlock() { <-p.sem }
 
 // all returns the programs in memory.
 func (l *Ledger) all() (programs []*program) {
--- a/internal/state/hgledger/row.go
+++ b/internal/state/hgledger/row.go
@@ -19,37 +19,40 @@
 )
 
 const (
-	// ProgramTable holds a row per account and one or more per turn; TurnTable leads from a turn to its program.
+	// ProgramTable holds a row for each account and one or more rows for each turn. TurnTable maps turns to their
+	// programs.
 	ProgramTable = "hgprogram"
 	TurnTable    = "hgturn"
-	// parts is the number of parts of each table; each takes one transaction after another.
-	parts = 16
-	// maxName is the longest identifier that stands in a key as it is; longer ones stand as a digest.
-	maxName = 60
-	// chunkBytes is the size of the rows of a turn, which as text stay under the store's limit of 64 KiB.
+	// numPartitions is the number of partitions of each table. Each applies its transactions one after another.
+	numPartitions = 16
+	// maxKeyID is the length of the longest escaped identifier that a key holds as it is; longer ones are replaced by a
+	// digest.
+	maxKeyID = 60
+	// chunkBytes is the size of the rows of a turn. Encoded as text they stay below the store's limit of 64 KiB.
 	chunkBytes = 40_000
-	// maxRows bounds the rows of a program that are read, 380 turns of several rows among them.
+	// maxRows bounds the rows that are read of a program; it suffices for 380 turns of several rows each.
 	maxRows = 4000
 )
 
-// accountRow is what each ledger has taken of a program's budget.
+// accountRow is the durable state of a program's budget. It is encoded under its Go field names.
 type accountRow struct {
+	// Taken maps ledgers to the shares of the budget that they have claimed, in tokens.
 	Taken map[string]int
-	// Closed says that the budget is spent for good; it spares a program that comes back the one turn that nodes grant
-	// on what others may not have used.
+	// Closed is set if the budget is permanently exhausted. Without it a program that returns later would be granted
+	// one more turn, on the assumption that other nodes have not used their shares.
 	Closed bool
-	// Strict says that the program may have been served before the row was made, by a node that lost what it had not yet
-	// written.
+	// Strict is set if the program may have been served before the row was created, by a node that died before it wrote
+	// its claim.
 	Strict bool
 }
 
-// reload takes the row over into a program's account, with the copies that peers have sent.
-func (l *Ledger) reload(p *program, row accountRow, version uint64, known bool) {
-	p.row, p.version, p.known = row, version, known
+// reload sets a program's account from its row and from the copies of claims that peers have sent.
+func (l *Ledger) reload(p *program, row accountRow, version uint64, rowKnown bool) {
+	p.row, p.version, p.rowKnown = row, version, rowKnown
 	others := 0
-	for ledger, taken := range l.taken(p) {
+	for ledger, claim := range l.claims(p) {
 		if ledger != l.id {
-			others += taken
+			others += claim
 		}
 	}
 	mine := row.Taken[l.id]
@@ -59,8 +62,8 @@
 	p.account = p.account.Reload(others, mine, row.Strict, row.Closed)
 }
 
-// taken returns what each ledger has taken, by the row or by a copy.
-func (l *Ledger) taken(p *program) map[string]int { return mostTaken(p.row.Taken, p.copies) }
+// claims returns the share that each ledger has claimed, according to the row and the copies.
+func (l *Ledger) claims(p *program) map[string]int { return maxClaims(p.row.Taken, p.copies) }
 
 var (
 	accountCodec = hgcodec.CBOR[accountRow]{}
@@ -69,38 +72,42 @@
 
 func hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// name makes an identifier fit for a key: no slash, bounded length.
-func name(id string) string {
-	if e := url.PathEscape(id); len(e) <= maxName {
+// keyID encodes an identifier for use in a key: without slashes and of bounded length.
+func keyID(id string) string {
+	if e := url.PathEscape(id); len(e) <= maxKeyID {
 		return e
 	}
 	sum := sha256.Sum256([]byte(id))
 	return "~" + hex.EncodeToString(sum[:16])
 }
 
-func part(program string) int { return int(hash(program) % parts) }
+// homePartition returns the partition of the store that holds a program's rows unless it is unreachable.
+func homePartition(program string) int { return int(hash(program) % numPartitions) }
 
 const (
-	// alternates is the number of further parts that a turn may be kept in while the program's own part is out of reach.
+	// alternates is the number of other partitions that may hold an account or a turn while the program's home
+	// partition is unreachable.
 	alternates = 5
-	// stride is the distance between them; without a common divisor with parts it meets all of them in turn.
+	// stride is the distance between alternate partitions. It has no common divisor with numPartitions, so that they
+	// are all distinct.
 	stride = 5
 )
 
-func programPrefix(part int, program string) string {
-	return fmt.Sprintf("%s/%02d/%s/", ProgramTable, part, name(program))
+func programPrefix(partition int, program string) string {
+	return fmt.Sprintf("%s/%02d/%s/", ProgramTable, partition, keyID(program))
 }
 
-func accountKey(part int, program string) string { return programPrefix(part, program) + "a" }
+func accountKey(partition int, program string) string { return programPrefix(partition, program) + "a" }
 
-func turnKey(part int, turn string) string {
-	return fmt.Sprintf("%s/%02d/%s", TurnTable, part, name(turn))
+func turnKey(partition int, turn string) string {
+	return fmt.Sprintf("%s/%02d/%s", TurnTable, partition, keyID(turn))
 }
 
-// writeAccount writes what this ledger takes of a budget if the row is as known. Otherwise, and after a write whose
-// outcome is not known, the row is read: it tells what this ledger has taken, also by a write without an answer.
+// writeAccount writes this ledger's claim, on the condition that the row still has the known version. On a version
+// conflict it writes nothing and reads the row, which also shows a claim of this ledger from an earlier write without a
+// reply. After any other error the row counts as not known.
 func (l *Ledger) writeAccount(ctx context.Context, p *program, a hgaccount.Account) (written bool, err error) {
-	row := accountRow{Taken: lo.Assign(l.taken(p), map[string]int{l.id: a.Mine}), Closed: a.Closed, Strict: p.row.Strict}
+	row := accountRow{Taken: lo.Assign(l.claims(p), map[string]int{l.id: a.Mine}), Closed: a.Closed, Strict: p.row.Strict}
 	if p.version == 0 && !p.isNew && !p.unsaved && len(p.copies) == 0 {
 		row.Strict = true
 	}
@@ -108,31 +115,32 @@
 	if err != nil {
 		return false, err
 	}
-	key := accountKey(p.at, p.id)
-	version, err := l.commit.do(ctx, p.at, item{
+	key := accountKey(p.partition, p.id)
+	version, err := l.committer.commit(ctx, p.partition, change{
 		conditions: []hgstore.Condition{{Key: key, Version: p.version}},
 		puts:       []hgstore.Put{{Key: key, Value: value}},
 	})
 	if err == nil {
-		l.markUnsaved(p, false)
+		l.setUnsaved(p, false)
 		l.reload(p, row, version, true)
-		l.log.Info("budget taken", "program", p.id, "mine", a.Mine, "others", a.Others, "strict", row.Strict, "version", version)
+		l.log.Info("budget claimed", "program", p.id, "mine", a.Mine, "others", a.Others, "strict", row.Strict, "version", version)
 		return true, nil
 	}
-	p.known = false
+	p.rowKnown = false
 	if _, conflict := hgstore.IsConflict(err); !conflict {
 		return false, err
 	}
 	return false, l.readAccount(ctx, p)
 }
 
-// readAccount reads a program's row, also where it was kept while the program's own part was out of reach.
+// readAccount reads a program's row. If the program's home partition has failed over, it looks in the alternate
+// partitions as well.
 func (l *Ledger) readAccount(ctx context.Context, p *program) (err error) {
-	r, err := l.table.Get(ctx, accountKey(p.at, p.id))
+	r, err := l.table.Get(ctx, accountKey(p.partition, p.id))
 	if trace.IsNotFound(err) {
-		if p.at == part(p.id) && l.bypassed[p.at].Load() {
-			p.known = false
-			if err := l.readAlternates(ctx, p); err != nil || p.known {
+		if p.partition == homePartition(p.id) && l.failedOver[p.partition].Load() {
+			p.rowKnown = false
+			if err := l.readAlternates(ctx, p); err != nil || p.rowKnown {
 				return err
 			}
 		}
@@ -149,29 +157,29 @@
 	return err
 }
 
-// load reads all rows of a program in its own part.
-func (l *Ledger) load(ctx context.Context, p *program) (err error) {
+// loadProgram reads all rows of a program in its home partition.
+func (l *Ledger) loadProgram(ctx context.Context, p *program) (err error) {
 	defer func() { err = trace.Wrap(err, "load program %s", p.id) }()
-	turns, account, version, err := l.readProgram(ctx, part(p.id), p.id)
+	turns, account, version, err := l.readProgram(ctx, homePartition(p.id), p.id)
 	if err != nil {
 		return err
 	}
 	maps.Copy(p.turns, turns)
-	if p.at == part(p.id) && (version > 0 || !l.bypassed[p.at].Load()) {
+	if p.partition == homePartition(p.id) && (version > 0 || !l.failedOver[p.partition].Load()) {
 		l.reload(p, account, version, true)
 	}
 	return nil
 }
 
-// readProgram reads what a part holds of a program.
-func (l *Ledger) readProgram(ctx context.Context, part int, program string) (turns hgturn.Tree, account accountRow, version uint64, err error) {
-	prefix := programPrefix(part, program)
+// readProgram reads the turns and the account of a program from one partition. The version is 0 if there is no account.
+func (l *Ledger) readProgram(ctx context.Context, partition int, program string) (turns hgturn.Tree, account accountRow, version uint64, err error) {
+	prefix := programPrefix(partition, program)
 	rows, err := l.table.Scan(ctx, prefix, "", maxRows)
 	if err != nil {
 		return nil, account, 0, err
 	}
 	turns = hgturn.Tree{}
-	var pending []byte
+	var chunks []byte
 	for _, r := range rows {
 		if r.Key == prefix+"a" {
 			if account, err = accountCodec.Decode(r.Value); err != nil {
@@ -180,26 +188,26 @@
 			version = r.Version
 			continue
 		}
-		// The first byte of each row of a turn says whether another one follows.
+		// The first byte of each row of a turn tells whether more rows of the turn follow.
 		if len(r.Value) == 0 {
-			return nil, account, 0, trace.BadParameter("row %s is empty", r.Key)
+			return nil, account, 0, trace.BadParameter("row %s of a turn is empty", r.Key)
 		}
-		pending = append(pending, r.Value[1:]...)
-		if r.Value[0] == more {
+		chunks = append(chunks, r.Value[1:]...)
+		if r.Value[0] == moreChunks {
 			continue
 		}
-		turn, err := turnCodec.Decode(pending)
+		turn, err := turnCodec.Decode(chunks)
 		if err != nil {
 			return nil, account, 0, err
 		}
 		turns[turn.ID] = turn
-		pending = nil
+		chunks = nil
 	}
 	return turns, account, version, nil
 }
 
-// The first byte of each row of a turn.
+// Values of the first byte of each row of a turn: the row is the last one of the turn, or more follow.
 const (
-	last byte = iota
-	more
+	lastChunk byte = iota
+	moreChunks
 )
