--- a/internal/peer/hgpeer/await.go
+++ b/internal/peer/hgpeer/await.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// patience is how long a message to a peer may take.
-type patience struct {
-	// limit bounds the message.
-	limit time.Duration
-	// tick is the time between two looks whether the peer has fallen silent.
-	tick     time.Duration
-	isSilent func() bool
+// waitPolicy bounds the wait for the reply to a call.
+type waitPolicy struct {
+	// timeout bounds the call, whether or not the peer shows signs of life.
+	timeout time.Duration
+	// checkInterval is the time between two calls of isSilent, which ends the wait when it returns true.
+	checkInterval time.Duration
+	isSilent      func() bool
 }
 
-// await sends a message to a peer and waits for its answer while patience lasts. An error that is not the caller's casts
-// suspicion on the peer.
-func await[R any](caller context.Context, m *Members, peer Info, p patience, send func(ctx context.Context) (R, error)) (reply R, err error) {
-	ctx, cancel := context.WithTimeout(caller, p.limit)
+// await calls a peer and waits for its reply within the policy. A failed call marks the peer as suspect, unless the
+// caller's own context has ended.
+func await[R any](caller context.Context, m *Members, peer Info, p waitPolicy, send func(ctx context.Context) (R, error)) (reply R, err error) {
+	ctx, cancel := context.WithTimeout(caller, p.timeout)
 	defer cancel()
 	type result struct {
 		reply R
@@ -35,7 +35,7 @@
 				m.Suspect(peer.Name)
 			}
 			return r.reply, r.err
-		case <-time.After(p.tick):
+		case <-time.After(p.checkInterval):
 			if p.isSilent() {
 				cancel()
 			}
--- a/internal/peer/hgpeer/backup.go
+++ b/internal/peer/hgpeer/backup.go
@@ -12,29 +12,32 @@
 	"hyssopgrade/internal/state/hgledger"
 )
 
-// maxCopies is the number of peers that hold what was taken while the store is out of reach.
+// maxCopies is the number of peers that hold a copy of the budget tokens taken while the store is unreachable.
 const maxCopies = 3
 
-// knowsPeersAfter is the time after the start in which each peer has sent a heartbeat, those in other failure domains too.
-const knowsPeersAfter = 3 * time.Second
+// discoveryTime is the time after the start within which a node has had a heartbeat from every peer, also from those in
+// other failure domains.
+const discoveryTime = 3 * time.Second
 
-// Backup is the live peers of a node, as its ledger needs them while the store is out of reach.
+// Backup gives the ledger of a node access to the peers, which stand in for the store while it is unreachable. It
+// implements hgledger.Backup.
 type Backup struct {
 	members *Members
 	client  *Client
 }
 
-// NewBackup returns a backup on the live peers.
+// NewBackup returns a Backup that calls the peers in m through c.
 func NewBackup(m *Members, c *Client) *Backup { return &Backup{members: m, client: c} }
 
-// Ask asks all peers what part they have in a program. A node that has just started may not know all peers yet,
-// which counts as one that does not answer.
+// Ask asks all peers that may have taken part in a program whether they have. Each of these adds one to the count of
+// missing answers: a peer that does not answer, a failure domain without a known live node, a node too young to know all
+// peers, and the lack of a majority.
 func (b *Backup) Ask(ctx context.Context, q hgledger.SoleRequest) (a hgledger.Answers) {
-	if b.members.Age() < knowsPeersAfter {
+	if b.members.Age() < discoveryTime {
 		a.None++
 	}
-	a.None += b.members.Unheard()
-	answers := askAll(b.members.Concerned(), func(p Info) (hgledger.SoleReply, error) { return b.client.Part(ctx, p.Peer, q) })
+	a.None += b.members.UnreachableDomains()
+	answers := callAll(b.members.PossibleParticipants(), func(p Info) (hgledger.SoleReply, error) { return b.client.Part(ctx, p.Peer, q) })
 	for _, answer := range answers {
 		if answer.err != nil {
 			a.None++
@@ -48,34 +51,37 @@
 	return a
 }
 
-// IsApart says whether this node hears no majority of all nodes.
+// IsApart reports whether this node reaches no majority of the nodes, as on the minority side of a network partition.
 func (b *Backup) IsApart() bool { return b.members.IsApart() }
 
-// Troubled says whether this node or a peer has lately been without the store, or has taken tokens without a row.
+// Troubled reports whether this node or a peer has recently lost the store, or has taken tokens that are not yet in a row.
+// Rows may then understate what was taken.
 func (b *Backup) Troubled() bool { return b.members.Troubled() }
 
-// Copy returns how many peers hold a copy, those of this failure domain first, as one of them serves the program next.
+// Copy sends c to up to maxCopies live peers and returns how many of them hold it. Peers of this failure domain come
+// first, because one of them owns the program if this node fails.
 func (b *Backup) Copy(ctx context.Context, c hgledger.Copy) (copies int) {
 	peers := lo.Filter(b.members.Live(), func(i Info, _ int) bool { return !i.Stopping })
 	self := b.members.Self().Domain
 	slices.SortStableFunc(peers, func(i, j Info) int {
 		return cmp.Compare(lo.Ternary(i.Domain == self, 0, 1), lo.Ternary(j.Domain == self, 0, 1))
 	})
-	answers := askAll(peers[:min(len(peers), maxCopies)], func(p Info) (OKReply, error) { return b.client.Copy(ctx, p.Peer, c) })
-	return lo.CountBy(answers, func(a answer[OKReply]) bool { return a.err == nil && a.reply.OK })
+	answers := callAll(peers[:min(len(peers), maxCopies)], func(p Info) (OKReply, error) { return b.client.Copy(ctx, p.Peer, c) })
+	return lo.CountBy(answers, func(a callResult[OKReply]) bool { return a.err == nil && a.reply.OK })
 }
 
-type answer[R any] struct {
+// callResult is the outcome of a call to one peer.
+type callResult[R any] struct {
 	reply R
 	err   error
 }
 
-// askAll asks all peers at once and returns their answers.
-func askAll[R any](peers []Info, ask func(p Info) (R, error)) []answer[R] {
-	answers := make([]answer[R], len(peers))
+// callAll calls all peers concurrently and returns their results in the order of peers.
+func callAll[R any](peers []Info, call func(p Info) (R, error)) []callResult[R] {
+	answers := make([]callResult[R], len(peers))
 	var wg sync.WaitGroup
 	for i, p := range peers {
-		wg.Go(func() { answers[i].reply, answers[i].err = ask(p) })
+		wg.Go(func() { answers[i].reply, answers[i].err = call(p) })
 	}
 	wg.Wait()
 	return answers
--- a/internal/peer/hgpeer/claim.go
+++ b/internal/peer/hgpeer/claim.go
@@ -8,60 +8,64 @@
 	"github.com/samber/lo"
 )
 
-// Claim says of a node whether it answers.
+// Claim is a statement of one node about another: whether it is live, and its Info.
 type Claim struct {
 	Info Info
 	Live bool
 }
 
-// Cursor is how far a node knows what a run of a peer tells; without a run it knows nothing.
+// Cursor is a position in the log of changes that one run of a peer's process keeps. The zero Cursor is before the
+// first change.
 type Cursor struct {
-	// Run is a digest of the run's name.
+	// Run is a digest of the peer's Info.Boot. After a restart of the peer the numbers start again.
 	Run uint64
-	// Claims and Programs are the numbers of the last change of a claim and of the last begun program that are known.
+	// Claims and Programs are the numbers of the last claim change and of the last program that the reader has received.
 	Claims, Programs uint64
 }
 
-// Ask is what a heartbeat asks for.
-type Ask struct {
+// GossipQuery is the part of a heartbeat that says what the reply is to contain.
+type GossipQuery struct {
+	// Known is the position up to which the sender has received the changes of the receiver.
 	Known Cursor
-	// Loads asks for the requests in flight.
+	// Loads asks for the number of requests in flight on each replica.
 	Loads bool
-	// SignOnly asks for nothing but a sign of life.
+	// SignOnly asks for a sign of life only: the reply holds no gossip, and the request carries no load report.
 	SignOnly bool
 }
 
-// News is what a node tells of others: what has changed since what the asker knows.
-type News struct {
-	// Now is what the asker knows with it, and Whole says that it builds on nothing.
+// GossipUpdate is what a node reports about other nodes: the changes since the position in the query.
+type GossipUpdate struct {
+	// Now is the position after this update. Whole says that the update is complete and replaces what was received before,
+	// because the reader's position belongs to another run.
 	Now    Cursor
 	Whole  bool
 	Claims []Claim
-	// Programs are those that nodes of the failure domain have begun to serve, by digest.
+	// Programs are the digests of the programs that nodes of the failure domain have started to serve.
 	Programs []uint64
-	// InFlight is the number of requests on each replica, without those of the asker.
+	// InFlight is the number of requests in flight on each replica, without those of the node that asked.
 	InFlight map[string]int
 }
 
-// source is a peer that tells of others.
+// source is a peer that reports about other nodes.
 type source struct {
 	domain string
-	known  Cursor
-	// at is when it last answered.
-	at time.Duration
-	// live names the nodes that it says answer.
+	cursor Cursor
+	// lastAnswer is when it last sent an update.
+	lastAnswer time.Duration
+	// live is the set of nodes that it claims to be live.
 	live     map[string]bool
 	inFlight map[string]int
 }
 
-// claimLog numbers the changes of what a node tells of others.
+// claimLog holds the claims of this node about its peers, and numbers their changes.
 type claimLog struct {
-	last    uint64
-	entries map[string]*claimEntry
-	// at is when it was last brought up to date.
-	at time.Duration
+	lastNumber uint64
+	entries    map[string]*claimEntry
+	// refreshed is when the claims were last compared with the members.
+	refreshed time.Duration
 }
 
+// claimEntry is a claim with the number of its last change.
 type claimEntry struct {
 	Claim
 	changed uint64
@@ -69,20 +73,20 @@
 
 func newClaimLog() claimLog { return claimLog{entries: map[string]*claimEntry{}} }
 
-// set takes over a claim.
+// set records a claim if it is a change; an unknown node that is not live is none.
 func (l *claimLog) set(name string, c Claim) {
 	e, ok := l.entries[name]
 	if ok && e.Claim == c || !ok && !c.Live {
 		return
 	}
-	l.last++
-	l.entries[name] = &claimEntry{Claim: c, changed: l.last}
+	l.lastNumber++
+	l.entries[name] = &claimEntry{Claim: c, changed: l.lastNumber}
 }
 
-// since returns the claims that changed after a number.
+// since returns the claims with a change after a number whose node passes keep.
 func (l *claimLog) since(number uint64, keep func(i Info) bool) (claims []Claim) {
 	for _, e := range l.entries {
-		// Who knows nothing need not hear of what is gone.
+		// A reader without any state needs no claims about nodes that are not live.
 		if e.changed > number && keep(e.Info) && (e.Live || number > 0) {
 			claims = append(claims, e.Claim)
 		}
@@ -90,22 +94,22 @@
 	return claims
 }
 
-// vouches says whether this node tells others that a peer answers. Of its own failure domain it tells only what it
-// has heard itself, and of others what nodes there have told it, so that nodes cannot keep a dead one alive by telling
-// each other. m.mu is held.
-func (m *Members) vouches(p *member, farSources []*source, now time.Duration) bool {
-	return m.isDirect(p, now) || p.info.Domain != m.self.Domain && isClaimed(p.info.Name, farSources)
+// reportsLive reports whether this node claims to others that a peer is live. Peers of its own failure domain are
+// reported only on its own observation, and peers of other domains also on the claims of nodes there. Otherwise nodes
+// could keep a dead peer alive by repeating each other's claims. m.mu is held.
+func (m *Members) reportsLive(p *member, remoteSources []*source, now time.Duration) bool {
+	return m.heardRecently(p, now) || p.info.Domain != m.self.Domain && isClaimed(p.info.Name, remoteSources)
 }
 
-// publish brings the claims up to date; m.mu is held.
-func (m *Members) publish(now time.Duration) {
-	if m.claims.at > 0 && now-m.claims.at < viewFor {
+// refreshClaims records the present state of the members in the claim log, at most once in viewTTL; m.mu is held.
+func (m *Members) refreshClaims(now time.Duration) {
+	if m.claims.refreshed > 0 && now-m.claims.refreshed < viewTTL {
 		return
 	}
-	m.claims.at = now
-	farSources := lo.Reject(m.freshSources(now), func(s *source, _ int) bool { return s.domain == m.self.Domain })
+	m.claims.refreshed = now
+	remoteSources := lo.Reject(m.freshSources(now), func(s *source, _ int) bool { return s.domain == m.self.Domain })
 	for name, p := range m.members {
-		m.claims.set(name, Claim{Info: p.info, Live: m.vouches(p, farSources, now)})
+		m.claims.set(name, Claim{Info: p.info, Live: m.reportsLive(p, remoteSources, now)})
 	}
 	for name, e := range m.claims.entries {
 		if _, ok := m.members[name]; !ok && e.Live {
@@ -114,81 +118,85 @@
 	}
 }
 
-// AskOf returns what a heartbeat to a peer asks for.
-func (m *Members) AskOf(peer Info) (a Ask) {
+// AskOf returns the query to send with a heartbeat to a peer.
+func (m *Members) AskOf(peer Info) (q GossipQuery) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s, ok := m.sources[peer.Name]; ok {
-		a.Known = s.known
+		q.Known = s.cursor
 	}
 	if !m.isLarge() {
-		return a
+		return q
 	}
-	a.Loads = peer.Domain != m.self.Domain || m.firstHub() == peer.Name && m.busy > 0 && m.timer.Now()-m.busy < busyFor
-	return a
+	q.Loads = peer.Domain != m.self.Domain || m.firstHub() == peer.Name && m.lastBusy > 0 && m.timer.Now()-m.lastBusy < busyTime
+	return q
 }
 
-// Answer takes a heartbeat of a peer and returns what this node tells it of others; nil on a small site.
-func (m *Members) Answer(b Beat) *News {
+// Answer takes a heartbeat from a peer and returns the update for it, or nil if the heartbeat asks for a sign of life only. On
+// a small site, where all nodes exchange heartbeats, the update is nil, and the heartbeat does not make the peer live: its reply
+// to a heartbeat of this node does.
+func (m *Members) Answer(b Beat) *GossipUpdate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isLarge() {
-		m.introduce(b.Info)
-		m.begun.addHeard(b.Programs)
+		m.upsert(b.Info)
+		m.programLog.addReceived(b.Programs)
 		return nil
 	}
-	m.hear(b)
-	m.begun.addHeard(b.Programs)
+	m.recordHeartbeat(b)
+	m.programLog.addReceived(b.Programs)
 	if b.Ask.SignOnly {
 		return nil
 	}
 	now := m.timer.Now()
-	m.publish(now)
-	far := b.Info.Domain != m.self.Domain
+	m.refreshClaims(now)
+	remote := b.Info.Domain != m.self.Domain
 	run := xxhash.Sum64String(m.self.Boot)
-	n := &News{Now: Cursor{Run: run, Claims: m.claims.last, Programs: m.begun.last}, Whole: b.Ask.Known.Run != run}
+	u := &GossipUpdate{Now: Cursor{Run: run, Claims: m.claims.lastNumber, Programs: m.programLog.lastNumber}, Whole: b.Ask.Known.Run != run}
 	known := b.Ask.Known
-	if n.Whole {
+	if u.Whole {
 		known = Cursor{}
 	}
-	n.Claims = m.claims.since(known.Claims, func(i Info) bool {
-		return i.Name != b.Info.Name && (!far || i.Domain == m.self.Domain)
+	u.Claims = m.claims.since(known.Claims, func(i Info) bool {
+		return i.Name != b.Info.Name && (!remote || i.Domain == m.self.Domain)
 	})
-	if !far {
-		n.Programs = m.begun.since(known.Programs)
+	if !remote {
+		u.Programs = m.programLog.since(known.Programs)
 	}
 	if b.Ask.Loads {
-		n.InFlight = m.loadsFor(b, far, now)
+		u.InFlight = m.inFlightFor(b, remote, now)
 	}
-	return n
+	return u
 }
 
-// takeNews takes over what a peer tells of others, unless later news came before; m.mu is held.
-func (m *Members) takeNews(from Info, n News) {
+// applyUpdate applies an update from a peer. It ignores one that is older than an update already applied, and one that
+// builds on changes that this node has not received. m.mu is held.
+func (m *Members) applyUpdate(from Info, u GossipUpdate) {
 	s, ok := m.sources[from.Name]
-	if !ok || s.known.Run != n.Now.Run {
-		if !n.Whole {
+	if !ok || s.cursor.Run != u.Now.Run {
+		if !u.Whole {
 			return
 		}
 		s = &source{domain: from.Domain, live: map[string]bool{}}
 		m.sources[from.Name] = s
 	}
-	if n.Now.Claims < s.known.Claims || n.Now.Programs < s.known.Programs {
+	if u.Now.Claims < s.cursor.Claims || u.Now.Programs < s.cursor.Programs {
 		return
 	}
-	if n.Whole {
+	if u.Whole {
 		clear(s.live)
-		m.changed = true
+		m.dirty = true
 	}
-	s.known, s.at, s.inFlight = n.Now, m.timer.Now(), n.InFlight
-	for _, c := range n.Claims {
-		m.takeClaim(s, c)
+	s.cursor, s.lastAnswer, s.inFlight = u.Now, m.timer.Now(), u.InFlight
+	for _, c := range u.Claims {
+		m.applyClaim(s, c)
 	}
-	m.begun.addHeard(n.Programs)
+	m.programLog.addReceived(u.Programs)
 }
 
-func (m *Members) takeClaim(s *source, c Claim) {
-	if m.introduce(c.Info) == nil {
+// applyClaim applies one claim of a source; m.mu is held.
+func (m *Members) applyClaim(s *source, c Claim) {
+	if m.upsert(c.Info) == nil {
 		return
 	}
 	if c.Live {
@@ -196,25 +204,25 @@
 	} else {
 		delete(s.live, c.Info.Name)
 	}
-	m.changed = true
+	m.dirty = true
 }
 
-// freshSources returns the sources that answered lately; m.mu is held.
+// freshSources returns the sources that answered within the silence timeout; m.mu is held.
 func (m *Members) freshSources(now time.Duration) (fresh []*source) {
 	for _, s := range m.sources {
-		if now-s.at < m.silent(s.domain) {
+		if now-s.lastAnswer < m.silenceTimeout(s.domain) {
 			fresh = append(fresh, s)
 		}
 	}
 	return fresh
 }
 
-// hasSource says whether a node of a failure domain has lately told of it; m.mu is held.
-func (m *Members) hasSource(domain string, now time.Duration) bool {
+// hasFreshSource reports whether a node of a failure domain is a fresh source; m.mu is held.
+func (m *Members) hasFreshSource(domain string, now time.Duration) bool {
 	return slices.ContainsFunc(m.freshSources(now), func(s *source) bool { return s.domain == domain })
 }
 
-// isClaimed says whether one of the sources tells that a node answers.
+// isClaimed reports whether one of the sources claims that a node is live.
 func isClaimed(name string, sources []*source) bool {
 	return slices.ContainsFunc(sources, func(s *source) bool { return s.live[name] })
 }
--- a/internal/peer/hgpeer/doc.go
+++ b/internal/peer/hgpeer/doc.go
@@ -1,3 +1,3 @@
-// Package hgpeer connects the nodes of a site: heartbeats, the choice of the node that serves a program, and the
-// messages between them over net/rpc.
+// Package hgpeer connects the nodes (entry VMs) of a site. It tracks membership by heartbeats, selects the node that owns
+// a program and the node that places requests on replicas, and carries the calls between nodes over net/rpc.
 package hgpeer
--- a/internal/peer/hgpeer/fleet_test.go
+++ b/internal/peer/hgpeer/fleet_test.go
@@ -16,40 +16,43 @@
 	"hyssopgrade/internal/serve/hgsuspect"
 )
 
-// fleet is the members of all nodes of a site in virtual time.
+// fleet simulates the membership of all nodes of a site in virtual time.
 type fleet struct {
 	clock  *clock
 	random *rand.Rand
 	names  []string
 	nodes  map[string]*hgpeer.Members
-	// suspects are the nodes' lists of requests that break off replicas.
+	// suspects are the nodes' lists of requests that crash replicas.
 	suspects map[string]*hgsuspect.List
-	next     map[string]time.Duration
+	// nextBeat is when each node sends its next heartbeats.
+	nextBeat map[string]time.Duration
 	round    map[string]int
-	// down nodes neither send nor answer, and a share of the messages gets lost.
+	// down nodes neither send nor answer; loss is the share of messages that get lost.
 	down map[string]bool
 	loss float64
-	// inFlight is what each node runs.
+	// inFlight is the load report of every node.
 	inFlight map[string]int
-	// sent counts the heartbeats that each node sent, handled those that it answered, and bytes what both took.
+	// sent counts the heartbeats that each node sent, handled those that it answered, and bytes the size of both with their
+	// replies.
 	sent, handled, bytes map[string]int
-	// every says that each so many-th node is looked at.
-	every int
-	// weighs says that bytes are counted.
-	weighs   bool
-	measured *gob.Encoder
-	buffer   bytes.Buffer
-	far      int
+	// sampleEvery is n if every nth node's view is checked.
+	sampleEvery int
+	// countBytes turns on the count of bytes.
+	countBytes bool
+	encoder    *gob.Encoder
+	buffer     bytes.Buffer
+	// remoteBeats counts the heartbeats between failure domains.
+	remoteBeats int
 }
 
-// newFleet returns a site of some nodes, of which one in six is strong, that know each other's names.
+// newFleet returns a site whose nodes are all registered in the store; one node in six is strong.
 func newFleet(size, domains int) *fleet {
 	f := &fleet{
-		clock: &clock{now: time.Minute}, random: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*hgpeer.Members{}, suspects: map[string]*hgsuspect.List{}, next: map[string]time.Duration{},
+		clock: &clock{now: time.Minute}, random: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*hgpeer.Members{}, suspects: map[string]*hgsuspect.List{}, nextBeat: map[string]time.Duration{},
 		round: map[string]int{}, down: map[string]bool{}, sent: map[string]int{}, handled: map[string]int{}, bytes: map[string]int{},
 	}
-	f.every = max(size/100, 1)
-	f.measured = gob.NewEncoder(&f.buffer)
+	f.sampleEvery = max(size/100, 1)
+	f.encoder = gob.NewEncoder(&f.buffer)
 	var infos []hgpeer.Info
 	for i := range size {
 		in := info(fmt.Sprintf("edge-%04d", i), fmt.Sprintf("domain-%d", i%domains))
@@ -64,36 +67,36 @@
 		f.names = append(f.names, in.Name)
 		f.nodes[in.Name] = m
 		f.suspects[in.Name] = hgsuspect.NewList(f.clock, hglog.Discard())
-		f.next[in.Name] = f.clock.now + time.Duration(f.random.IntN(300))*time.Millisecond
+		f.nextBeat[in.Name] = f.clock.now + time.Duration(f.random.IntN(300))*time.Millisecond
 	}
 	return f
 }
 
-// run lets time pass.
+// run advances the virtual time by d in steps, in which nodes send the heartbeats that are due.
 func (f *fleet) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := f.clock.now + d; f.clock.now < end; f.clock.now += step {
 		for _, name := range f.names {
-			if f.down[name] || f.clock.now < f.next[name] {
+			if f.down[name] || f.clock.now < f.nextBeat[name] {
 				continue
 			}
-			f.next[name] = f.clock.now + f.nodes[name].Pace()
+			f.nextBeat[name] = f.clock.now + f.nodes[name].Pace()
 			f.nodes[name].SetInFlight(f.inFlight)
-			near, far := f.nodes[name].Targets(f.round[name])
+			local, remote := f.nodes[name].Targets(f.round[name])
 			f.round[name]++
-			f.far += len(far)
+			f.remoteBeats += len(remote)
 			programs := f.nodes[name].TakeUntold()
-			for _, p := range near {
+			for _, p := range local {
 				f.beat(name, p, programs)
 			}
-			for _, p := range far {
+			for _, p := range remote {
 				f.beat(name, p, nil)
 			}
 		}
 	}
 }
 
-// beat sends a heartbeat from a node and takes its answer back.
+// beat sends a heartbeat from a node and delivers the reply to it.
 func (f *fleet) beat(name string, to hgpeer.Info, programs []uint64) {
 	m := f.nodes[name]
 	b := hgpeer.Beat{Info: m.Self(), InFlight: f.inFlight, Programs: programs, Ask: m.AskOf(to), Suspects: f.suspects[name].Offer(to.Name)}
@@ -108,7 +111,7 @@
 	peer := f.nodes[to.Name]
 	reply := hgpeer.Beat{Info: peer.Self(), InFlight: f.inFlight, News: peer.Answer(b), Suspects: f.suspects[to.Name].Answer(name, b.Suspects)}
 	f.handled[to.Name]++
-	if f.weighs {
+	if f.countBytes {
 		size := f.size(b) + f.size(reply)
 		f.bytes[name] += size
 		f.bytes[to.Name] += size
@@ -119,52 +122,54 @@
 	}
 }
 
+// size returns the encoded length of a heartbeat in bytes.
 func (f *fleet) size(b hgpeer.Beat) int {
 	f.buffer.Reset()
-	if err := f.measured.Encode(b); err != nil {
+	if err := f.encoder.Encode(b); err != nil {
 		panic(err)
 	}
 	return f.buffer.Len()
 }
 
-// unseen counts the nodes that a running node wrongly takes for gone, or for live, over the running nodes that are
-// looked at.
-func (f *fleet) unseen() (missing, ghosts int) {
+// viewErrors compares the views of a sample of the running nodes with the truth. It counts the live nodes that are missing
+// in a view, and the stopped nodes that are live in one.
+func (f *fleet) viewErrors() (missing, stale int) {
 	up := len(f.names) - len(lo.Keys(f.down))
 	for i, name := range f.names {
-		if f.down[name] || i%f.every != 0 {
+		if f.down[name] || i%f.sampleEvery != 0 {
 			continue
 		}
 		live := f.nodes[name].Live()
 		gone := lo.CountBy(live, func(i hgpeer.Info) bool { return f.down[i.Name] })
-		ghosts += gone
+		stale += gone
 		missing += up - 1 - (len(live) - gone)
 	}
-	return missing, ghosts
+	return missing, stale
 }
 
-// lookEvery is the time between two looks whether all nodes are right.
-const lookEvery = 500 * time.Millisecond
+// checkInterval is the virtual time between two checks of all views.
+const checkInterval = 500 * time.Millisecond
 
-// until lets time pass until no node is wrong about another, and returns how long that took.
-func (f *fleet) until(limit time.Duration) time.Duration {
+// converge runs until all views are right, at most for limit, and returns the virtual time that took.
+func (f *fleet) converge(limit time.Duration) time.Duration {
 	began := f.clock.now
 	for f.clock.now-began < limit {
-		if missing, ghosts := f.unseen(); missing+ghosts == 0 {
+		if missing, stale := f.viewErrors(); missing+stale == 0 {
 			break
 		}
-		f.run(lookEvery)
+		f.run(checkInterval)
 	}
 	return f.clock.now - began
 }
 
-// At any size nodes find each other, a dead one is noticed in the same time, and a quiet site costs a node no more.
+// Heartbeats between all nodes would cost each node more with every further node. At every size the nodes must find each
+// other, detect a failed node as fast as a full mesh does, and stay within one limit of control traffic without changes.
 func TestFleet(t *testing.T) {
-	// maxBytes is what control may cost a node in bytes a second.
+	// maxBytes is the limit of the mean control traffic of a node, in bytes per second.
 	const maxBytes = 13_000
 	tests := map[string]struct {
 		size, domains int
-		// deaths says that nodes die, which takes some seconds of all nodes' work.
+		// deaths says that nodes fail, which takes some seconds of simulation at large sizes.
 		deaths bool
 	}{
 		"24":   {24, 3, true},
@@ -176,23 +181,23 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(tt.size, tt.domains)
-			if took := f.until(10 * time.Second); took > 4*time.Second {
-				t.Errorf("nodes knew each other after %v", took)
+			if took := f.converge(10 * time.Second); took > 4*time.Second {
+				t.Errorf("nodes knew each other after %v, want 4s at most", took)
 			}
 			f.run(time.Second)
 			clear(f.sent)
 			clear(f.handled)
 			clear(f.bytes)
-			f.far = 0
-			f.weighs = true
+			f.remoteBeats = 0
+			f.countBytes = true
 			const quiet = 2
 			f.run(quiet * time.Second)
-			f.weighs = false
+			f.countBytes = false
 			messages := lo.Map(f.names, func(n string, _ int) int { return f.sent[n] + f.handled[n] })
 			bytes := lo.Map(f.names, func(n string, _ int) int { return f.bytes[n] / quiet })
 			hub := lo.MaxBy(f.names, func(a, b string) bool { return f.bytes[a] > f.bytes[b] })
 			t.Logf("%d nodes: %.1f messages/s a node, %.1f the most; %d bytes/s a node, %d the most; %d between domains/s",
-				tt.size, float64(lo.Sum(messages))/float64(tt.size)/quiet, float64(lo.Max(messages))/quiet, lo.Sum(bytes)/tt.size, lo.Max(bytes), f.far/quiet)
+				tt.size, float64(lo.Sum(messages))/float64(tt.size)/quiet, float64(lo.Max(messages))/quiet, lo.Sum(bytes)/tt.size, lo.Max(bytes), f.remoteBeats/quiet)
 			if mean := lo.Sum(bytes) / tt.size; mean > maxBytes {
 				t.Errorf("%d bytes/s a node, want %d at most", mean, maxBytes)
 			}
@@ -203,62 +208,63 @@
 				for _, v := range victims {
 					f.down[v] = true
 				}
-				took := f.until(20 * time.Second)
-				t.Logf("%d nodes: the end of %v is known after %v", tt.size, victims, took)
-				// Heartbeats between all nodes, 300 ms and 4 ms for each peer apart, showed it in other failure domains after
-				// nine periods.
+				took := f.converge(20 * time.Second)
+				t.Logf("%d nodes: the failure of %v is known after %v", tt.size, victims, took)
+				// With heartbeats between all nodes, at a period of 300 ms plus 4 ms for each peer beyond eight, nodes in other
+				// failure domains detected a failure after nine periods.
 				if limit := 9 * (300*time.Millisecond + 4*time.Millisecond*time.Duration(tt.size-9)); took > limit {
-					t.Errorf("the end of %v is known after %v, want %v", victims, took, limit)
+					t.Errorf("the failure of %v is known after %v, want %v at most", victims, took, limit)
 				}
 			}
 		})
 	}
 }
 
-// Nodes find together again after half of them, with most hubs, have ended at once, and after they are back.
-func TestFleetAfterHerdLoss(t *testing.T) {
+// When half of the nodes, among them most hubs, fail at once, the others have to agree on new hubs. They must converge, and so
+// must all nodes after the failed ones have returned.
+func TestFleetAfterMassFailure(t *testing.T) {
 	f := newFleet(100, 4)
-	f.until(10 * time.Second)
+	f.converge(10 * time.Second)
 	for i, name := range f.names {
 		if i/4%2 == 1 {
 			f.down[name] = true
 		}
 	}
-	if took := f.until(20 * time.Second); took > 8*time.Second {
-		t.Errorf("the survivors knew each other after %v", took)
+	if took := f.converge(20 * time.Second); took > 8*time.Second {
+		t.Errorf("the survivors knew each other after %v, want 8s at most", took)
 	}
 	clear(f.down)
-	if took := f.until(20 * time.Second); took > 10*time.Second {
-		t.Errorf("all knew each other again after %v", took)
+	if took := f.converge(20 * time.Second); took > 10*time.Second {
+		t.Errorf("all knew each other again after %v, want 10s at most", took)
 	}
 }
 
-// Lost messages and paused nodes make few nodes wrong about others.
+// Lost messages must not make live nodes look failed, and a node that paused must soon be live again for all others.
 func TestFleetLoss(t *testing.T) {
 	f := newFleet(100, 4)
-	f.until(10 * time.Second)
+	f.converge(10 * time.Second)
 	f.loss = 0.05
-	wrong, looks := 0, 0
+	wrong, checked := 0, 0
 	for range 40 {
 		f.run(250 * time.Millisecond)
-		missing, _ := f.unseen()
+		missing, _ := f.viewErrors()
 		wrong += missing
-		looks += len(f.names) * (len(f.names) - 1)
+		checked += len(f.names) * (len(f.names) - 1)
 	}
-	if share := float64(wrong) / float64(looks); share > 0.001 {
-		t.Errorf("a live node is taken for gone in %.4f of all looks", share)
+	if share := float64(wrong) / float64(checked); share > 0.001 {
+		t.Errorf("a live node is missing in a share of %.4f of all checked views, want 0.001 at most", share)
 	}
 	f.loss = 0
 	paused := f.names[7]
 	f.down[paused] = true
 	f.run(time.Second)
 	delete(f.down, paused)
-	if took := f.until(10 * time.Second); took > 2*time.Second {
-		t.Errorf("a node is known again %v after a pause", took)
+	if took := f.converge(10 * time.Second); took > 2*time.Second {
+		t.Errorf("a node is live again %v after a pause, want 2s at most", took)
 	}
 }
 
-// Requests in flight are counted over all nodes, each once.
+// Hubs forward the sums of requests in flight. No node may count a request of another node twice, or leave one out.
 func TestFleetLoads(t *testing.T) {
 	f := newFleet(48, 3)
 	f.inFlight = map[string]int{"replica": 1}
@@ -270,18 +276,19 @@
 	}
 }
 
-// A program is told once to the nodes of the failure domain.
+// A node learns of a program from several hubs. Every other node of the failure domain must receive it exactly once, and
+// nodes of other domains not at all.
 func TestFleetPrograms(t *testing.T) {
 	f := newFleet(48, 3)
-	f.until(10 * time.Second)
-	teller := f.names[40]
-	f.nodes[teller].TellPrograms([]uint64{9})
+	f.converge(10 * time.Second)
+	announcer := f.names[40]
+	f.nodes[announcer].TellPrograms([]uint64{9})
 	f.run(4 * time.Second)
 	for _, name := range f.names {
-		near := f.nodes[name].Self().Domain == f.nodes[teller].Self().Domain
-		want := lo.Ternary(name != teller && near, []uint64{9}, nil)
+		local := f.nodes[name].Self().Domain == f.nodes[announcer].Self().Domain
+		want := lo.Ternary(name != announcer && local, []uint64{9}, nil)
 		if diff := cmp.Diff(want, f.nodes[name].TakeUnused()); diff != "" {
-			t.Errorf("%s heard of programs (-want +got):\n%s", name, diff)
+			t.Errorf("%s received programs (-want +got):\n%s", name, diff)
 		}
 	}
 }
@@ -290,45 +297,46 @@
 	return hgsuspect.Request{Content: n, Caller: 1000 + n, Service: fmt.Sprint(n)}
 }
 
-// Breaks seen at three nodes reach all others, also nodes that were gone meanwhile and such as start anew, although messages
-// get lost.
+// A request that crashed replicas of three nodes must be refused by all nodes, although messages get lost, one node is down
+// meanwhile and one restarts with an empty list. A request that has since run to its end must not be refused.
 func TestFleetLearnsOfCrashingRequest(t *testing.T) {
-	const guilty, innocent = 7, 8
+	const crashing, harmless = 7, 8
 	tests := map[string]struct{ size, domains int }{"small": {9, 3}, "large": {48, 3}, "very large": {300, 5}}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(tc.size, tc.domains)
-			f.until(10 * time.Second)
+			f.converge(10 * time.Second)
 			f.loss = 0.2
-			gone, anew := f.names[tc.size/2], f.names[tc.size/3]
-			f.down[gone] = true
+			absent, restarted := f.names[tc.size/2], f.names[tc.size/3]
+			f.down[absent] = true
 			for i := range 3 {
-				teller := f.suspects[f.names[i*tc.size/4]]
-				teller.Broke(request(guilty))
-				teller.Broke(request(innocent))
+				observer := f.suspects[f.names[i*tc.size/4]]
+				observer.Broke(request(crashing))
+				observer.Broke(request(harmless))
 			}
-			f.suspects[f.names[1]].Ended(request(innocent))
+			f.suspects[f.names[1]].Ended(request(harmless))
 			f.run(4 * time.Second)
-			f.suspects[f.names[tc.size-1]].Ended(request(innocent))
-			delete(f.down, gone)
-			f.suspects[anew] = hgsuspect.NewList(f.clock, hglog.Discard())
+			f.suspects[f.names[tc.size-1]].Ended(request(harmless))
+			delete(f.down, absent)
+			f.suspects[restarted] = hgsuspect.NewList(f.clock, hglog.Discard())
 			f.run(4 * time.Second)
 			for _, name := range f.names {
-				if _, refused := f.suspects[name].Refused(request(guilty)); !refused {
+				if _, refused := f.suspects[name].Refused(request(crashing)); !refused {
 					t.Errorf("%s does not refuse the crashing request", name)
 				}
-				if _, refused := f.suspects[name].Refused(request(innocent)); refused {
-					t.Errorf("%s refuses one that has proved itself", name)
+				if _, refused := f.suspects[name].Refused(request(harmless)); refused {
+					t.Errorf("%s refuses a request that has run to its end", name)
 				}
 			}
 		})
 	}
 }
 
-// Nodes that the store does not name are forgotten when they have been gone for long, hubs too.
+// Nodes that have been down for long and have no row in the store must be removed, hubs too. Claims that nodes repeat to each
+// other must not keep them.
 func TestFleetForgets(t *testing.T) {
 	f := newFleet(40, 2)
-	f.until(10 * time.Second)
+	f.converge(10 * time.Second)
 	left := f.names[:20]
 	for _, name := range f.names[20:] {
 		f.down[name] = true
@@ -342,7 +350,7 @@
 			t.Errorf("%s knows %d peers, want %d", name, n, len(left)-1)
 		}
 	}
-	if missing, ghosts := f.unseen(); missing+ghosts > 0 {
-		t.Errorf("%d missing, %d ghosts", missing, ghosts)
+	if missing, stale := f.viewErrors(); missing+stale > 0 {
+		t.Errorf("%d live nodes missing, %d stopped nodes live", missing, stale)
 	}
 }
--- a/internal/peer/hgpeer/hub.go
+++ b/internal/peer/hgpeer/hub.go
@@ -7,41 +7,43 @@
 	"github.com/samber/lo"
 )
 
-// On large sites nodes do not exchange heartbeats with all others. A few of each failure domain, its hubs, hear all
-// nodes of it directly; the first hubs of the domains hear each other. An answer to a heartbeat tells what has changed
-// in what the hub knows, so that a quiet site costs each node a few small messages a period, at any size.
+// On large sites nodes do not exchange heartbeats with all others. A few nodes of each failure domain, its hubs, receive
+// heartbeats from all nodes of the domain; the first hubs of the domains exchange heartbeats with each other. The reply to a
+// heartbeat carries only what has changed in the hub's state, so that without changes each node handles a few small
+// messages per period, whatever the size of the site.
 
 const (
-	// meshPeers is the number of peers up to which all exchange heartbeats.
-	meshPeers = 16
-	// hubCount is the number of hubs of a failure domain.
-	hubCount = 3
-	// speakers is the number of hubs that exchange heartbeats with the hubs of other domains.
-	speakers = 2
-	// recoverBeats is the number of periods after which a hub that did not answer is tried again.
-	recoverBeats = 16
-	// failedBeats is what a heartbeat that failed counts for, beside being one without an answer.
-	failedBeats = 1
+	// maxMeshPeers is the number of peers up to which all nodes exchange heartbeats with each other.
+	maxMeshPeers = 16
+	// hubsPerDomain is the number of hubs of a failure domain.
+	hubsPerDomain = 3
+	// gatewayHubs is the number of hubs of a domain that exchange heartbeats with the hubs of other domains.
+	gatewayHubs = 2
+	// hubRetryPeriods is the number of periods between two attempts to use unresponsive nodes as hubs again.
+	hubRetryPeriods = 16
+	// failurePenalty is added to the count of missed heartbeats when one fails with an error, beside the one that is added
+	// when it is sent.
+	failurePenalty = 1
 )
 
-// isLarge says whether the site is too large for heartbeats between all nodes; m.mu is held.
-func (m *Members) isLarge() bool { return len(m.members) > meshPeers }
+// isLarge reports whether the site is too large for heartbeats between all nodes; m.mu is held.
+func (m *Members) isLarge() bool { return len(m.members) > maxMeshPeers }
 
-// hubs returns the hubs of each failure domain: the strongest nodes that do not leave heartbeats unanswered. Nodes may
-// differ about them for a moment, so that any node answers heartbeats as a hub does. m.mu is held.
+// hubs returns the hubs of each failure domain: the nodes with the most processor cores that answer heartbeats. Nodes may
+// disagree about them for a moment, so every node answers heartbeats as a hub does. m.mu is held.
 func (m *Members) hubs() map[string][]Info {
 	hubs := map[string][]Info{}
 	consider := func(i *Info) {
 		of := hubs[i.Domain]
-		if len(of) == hubCount && byPower(*i, of[hubCount-1]) > 0 {
+		if len(of) == hubsPerDomain && byPower(*i, of[hubsPerDomain-1]) > 0 {
 			return
 		}
 		at, _ := slices.BinarySearchFunc(of, *i, byPower)
 		of = slices.Insert(of, at, *i)
-		hubs[i.Domain] = of[:min(len(of), hubCount)]
+		hubs[i.Domain] = of[:min(len(of), hubsPerDomain)]
 	}
 	for _, p := range m.members {
-		if !p.info.Stopping && p.missed < silentBeats {
+		if !p.info.Stopping && p.missed < maxMissedBeats {
 			consider(&p.info)
 		}
 	}
@@ -51,52 +53,53 @@
 	return hubs
 }
 
-// rank returns the place of this node among the hubs of its domain; -1 if it is none.
-func (m *Members) rank(v *view) int {
+// hubRank returns the index of this node among the hubs of its domain, or -1 if it is not a hub.
+func (m *Members) hubRank(v *view) int {
 	return slices.IndexFunc(v.hubs[m.self.Domain], func(i Info) bool { return i.Name == m.self.Name })
 }
 
-// IsLarge says whether the site is too large for messages from each node to all others.
+// IsLarge reports whether the site has too many nodes for each of them to send heartbeats to all others.
 func (m *Members) IsLarge() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isLarge()
 }
 
-// Targets returns the peers that get a heartbeat in a round, of this failure domain and of the others.
-func (m *Members) Targets(round int) (near, far []Info) {
+// Targets returns the peers to send a heartbeat to in a round: local ones are in this failure domain, remote ones in
+// others. On a large site it counts each heartbeat as missed until the peer answers.
+func (m *Members) Targets(round int) (local, remote []Info) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forget()
+	m.prune()
 	if !m.isLarge() {
 		for _, p := range m.members {
 			switch {
 			case p.info.Domain == m.self.Domain:
-				near = append(near, p.info)
-			case round%farBeats == 0:
-				far = append(far, p.info)
+				local = append(local, p.info)
+			case round%remoteBeatPeriods == 0:
+				remote = append(remote, p.info)
 			}
 		}
-		return near, far
+		return local, remote
 	}
-	if round%recoverBeats == 0 {
+	if round%hubRetryPeriods == 0 {
 		m.retryHubs()
 	}
-	v := m.look()
-	near = lo.Reject(v.hubs[m.self.Domain], func(i Info, _ int) bool { return i.Name == m.self.Name })
-	far = m.farTargets(v)
-	for _, i := range append(slices.Clone(near), far...) {
+	v := m.currentView()
+	local = lo.Reject(v.hubs[m.self.Domain], func(i Info, _ int) bool { return i.Name == m.self.Name })
+	remote = m.remoteTargets(v)
+	for _, i := range append(slices.Clone(local), remote...) {
 		p := m.members[i.Name]
 		p.missed++
-		m.changed = m.changed || p.missed == silentBeats
+		m.dirty = m.dirty || p.missed == maxMissedBeats
 	}
-	return near, far
+	return local, remote
 }
 
-// farTargets returns the peers in other failure domains that get a heartbeat; m.mu is held.
-func (m *Members) farTargets(v *view) (far []Info) {
-	rank := m.rank(v)
-	if rank < 0 || rank >= speakers {
+// remoteTargets returns the peers in other failure domains to send a heartbeat to, on a large site; m.mu is held.
+func (m *Members) remoteTargets(v *view) (remote []Info) {
+	rank := m.hubRank(v)
+	if rank < 0 || rank >= gatewayHubs {
 		return nil
 	}
 	now := m.timer.Now()
@@ -104,70 +107,71 @@
 		if domain == m.self.Domain {
 			continue
 		}
-		far = append(far, hubs[:min(len(hubs), speakers-rank)]...)
-		if !m.hasSource(domain, now) {
-			// Any node of the domain knows its hubs.
-			nodes := lo.Filter(lo.Values(m.members), func(p *member, _ int) bool { return p.info.Domain == domain && !lo.Contains(far, p.info) })
+		remote = append(remote, hubs[:min(len(hubs), gatewayHubs-rank)]...)
+		if !m.hasFreshSource(domain, now) {
+			// No hub of the domain has answered recently. Any other node there can answer too, and knows the present hubs.
+			nodes := lo.Filter(lo.Values(m.members), func(p *member, _ int) bool { return p.info.Domain == domain && !lo.Contains(remote, p.info) })
 			if len(nodes) > 0 {
-				far = append(far, nodes[rand.IntN(len(nodes))].info)
+				remote = append(remote, nodes[rand.IntN(len(nodes))].info)
 			}
 		}
 	}
-	return far
+	return remote
 }
 
-// retryHubs lets the nodes that would be hubs if they answered be tried once more; m.mu is held.
+// retryHubs gives the unresponsive nodes that would otherwise be hubs one more heartbeat to answer; m.mu is held.
 func (m *Members) retryHubs() {
-	v := m.look()
+	v := m.currentView()
 	for _, p := range m.members {
 		hubs := v.hubs[p.info.Domain]
-		if p.missed >= silentBeats && (len(hubs) < hubCount || byPower(p.info, hubs[len(hubs)-1]) < 0) {
-			p.missed = silentBeats - 1
-			m.changed = true
+		if p.missed >= maxMissedBeats && (len(hubs) < hubsPerDomain || byPower(p.info, hubs[len(hubs)-1]) < 0) {
+			p.missed = maxMissedBeats - 1
+			m.dirty = true
 		}
 	}
 }
 
-// Failed tells that a heartbeat to a peer failed.
+// Failed records that a heartbeat to a peer failed with an error.
 func (m *Members) Failed(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p, ok := m.members[name]; ok {
-		p.missed += failedBeats
-		m.changed = m.changed || p.missed >= silentBeats
+		p.missed += failurePenalty
+		m.dirty = m.dirty || p.missed >= maxMissedBeats
 	}
 }
 
-// Unheard returns the number of the site's failure domains of which nothing is known on a large site, so that nodes
-// there may be concerned that this one does not know.
-func (m *Members) Unheard() int {
+// UnreachableDomains returns the number of configured failure domains in which this node knows no live node. Nodes there may
+// have taken part in a program without this node knowing of them. It is 0 on a small site.
+func (m *Members) UnreachableDomains() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isLarge() {
 		return 0
 	}
-	heard := map[string]bool{m.self.Domain: true}
+	reached := map[string]bool{m.self.Domain: true}
 	for _, i := range m.live() {
-		heard[i.Domain] = true
+		reached[i.Domain] = true
 	}
-	return lo.CountBy(m.domains, func(d string) bool { return !heard[d] })
+	return lo.CountBy(m.domains, func(d string) bool { return !reached[d] })
 }
 
-// IsIdle says whether this node serves nobody as stronger ones do, and a hub of its failure domain answers.
+// IsIdle reports whether this node serves no callers and no programs because stronger nodes of its failure domain do, while
+// a hub of the domain answers its heartbeats.
 func (m *Members) IsIdle() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isLarge() {
 		return false
 	}
-	v := m.look()
-	near := lo.Filter(append(slices.Clone(v.live), m.self), func(i Info, _ int) bool { return i.Domain == m.self.Domain && !i.Stopping })
-	if lo.ContainsBy(Strong(near), func(i Info) bool { return i.Name == m.self.Name }) {
+	v := m.currentView()
+	local := lo.Filter(append(slices.Clone(v.live), m.self), func(i Info, _ int) bool { return i.Domain == m.self.Domain && !i.Stopping })
+	if lo.ContainsBy(Strong(local), func(i Info) bool { return i.Name == m.self.Name }) {
 		return false
 	}
 	now := m.timer.Now()
 	return lo.SomeBy(v.hubs[m.self.Domain], func(i Info) bool {
 		p, ok := m.members[i.Name]
-		return ok && m.isDirect(p, now)
+		return ok && m.heardRecently(p, now)
 	})
 }
--- a/internal/peer/hgpeer/members.go
+++ b/internal/peer/hgpeer/members.go
@@ -13,180 +13,188 @@
 )
 
 const (
-	// basePeriod is the time between two heartbeats to a peer of the same failure domain.
+	// basePeriod is the time between two heartbeats to a peer of the same failure domain, with up to basePeriodPeers peers.
 	basePeriod = 300 * time.Millisecond
-	// perPeer lengthens it for each peer beyond fewPeers, so that heartbeats cost a bounded part of a VM.
-	perPeer  = 4 * time.Millisecond
-	fewPeers = 8
-	// farBeats is the number of periods between two heartbeats to a peer in another failure domain: it serves no
-	// programs for this node while one nearby does, and bytes between domains are paid for.
-	farBeats = 3
-	// silentBeats is the number of periods without an answer after which a peer counts as gone.
-	silentBeats = 3
-	// suspectFor is how long a peer that failed a message is passed over, if its heartbeats go on.
-	suspectFor = 700 * time.Millisecond
-	// forgetAfter is the time after which a silent peer is asked no more, unless the store names it.
+	// periodPerPeer lengthens basePeriod for each peer beyond basePeriodPeers, so that heartbeats take a bounded share of a VM.
+	periodPerPeer   = 4 * time.Millisecond
+	basePeriodPeers = 8
+	// remoteBeatPeriods is the number of periods between two heartbeats to a peer in another failure domain. Such a peer
+	// owns no programs of this node's callers while a node of this domain can, and traffic between domains costs money.
+	remoteBeatPeriods = 3
+	// maxMissedBeats is the number of heartbeat periods without an answer after which a peer is no longer live.
+	maxMissedBeats = 3
+	// suspectTime is how long a peer stays suspect after a failed call while its heartbeats go on.
+	suspectTime = 700 * time.Millisecond
+	// forgetAfter is the time after which a peer that nobody has mentioned is removed, unless the store registers it.
 	forgetAfter = time.Minute
-	// concernFor is how long a silent peer that has not stopped may have a part in programs, whoever asks. After that a
-	// majority holds it for gone.
-	concernFor = 5 * time.Second
-	// viewFor is how long what follows from the members is used before it is worked out again.
-	viewFor = 25 * time.Millisecond
+	// participantTimeout is how long a silent peer that has not announced its stop may still take part in programs. After
+	// that time a majority of the nodes treats it as gone.
+	participantTimeout = 5 * time.Second
+	// viewTTL is how long a computed view of the members is used.
+	viewTTL = 25 * time.Millisecond
 )
 
+// member is what this node knows of a peer. All times are readings of the timer of Members.
 type member struct {
 	info     Info
 	inFlight map[string]int
-	// answered says that it was ever heard, and heard when it last was; suspect is until when it is passed over.
-	answered       bool
-	heard, suspect time.Duration
-	// claimed is when others last said that it answers; only on large sites.
-	claimed time.Duration
-	// since is when it became known, and known when it was last named.
-	since, known time.Duration
-	// missed is the number of heartbeats that it has not answered since it was last heard.
+	// answered says that the peer has replied to a heartbeat of this node or, on a large site, sent one itself; lastHeard is
+	// when it last did. The peer is suspect, and not live, before suspectUntil.
+	answered                bool
+	lastHeard, suspectUntil time.Duration
+	// lastClaimed is when other nodes last claimed that the peer is live; on large sites only.
+	lastClaimed time.Duration
+	// added is when this node first learned of the peer, and lastMentioned when it last did: from the peer, from another
+	// node or from the store.
+	added, lastMentioned time.Duration
+	// missed is the number of heartbeats to the peer since lastHeard, plus penalties for failed ones. It is used
+	// on large sites only.
 	missed int
 }
 
-// Members is what a node believes of its peers; it is safe for concurrent use.
+// Members is the membership of a site as one node sees it; it is safe for concurrent use.
 type Members struct {
-	timer hgtimer.Timer
-	made  time.Duration
+	timer   hgtimer.Timer
+	created time.Duration
 
 	mu sync.Mutex
-	// troubled is when a node last was without the store, or had taken tokens without a row; 0 is never.
-	troubled time.Duration
-	self     Info
-	members  map[string]*member
-	// named are the peers that the store names.
-	named map[string]bool
-	// domains are the failure domains of the site, as far as the settings name them.
+	// lastOutage is when this node or a peer last was without the store, or had taken tokens that are not in a row; 0 is
+	// never.
+	lastOutage time.Duration
+	self       Info
+	members    map[string]*member
+	// registered is the set of nodes with a row in the store.
+	registered map[string]bool
+	// domains are the failure domains that the settings name.
 	domains []string
-	// ownInFlight is the number of this node's requests on each replica, and busy when there last was one.
+	// ownInFlight is the number of this node's requests on each replica, and lastBusy when there last was any.
 	ownInFlight map[string]int
-	busy        time.Duration
-	// last is what follows from the members, and changed says that it has to be worked out again.
-	last    view
-	changed bool
-	// sources are the peers that tell of others on large sites, and claims what this node tells of them.
-	sources map[string]*source
-	claims  claimLog
-	begun   begunLog
+	lastBusy    time.Duration
+	// cachedView is the latest computed view, and dirty says that members have changed since.
+	cachedView view
+	dirty      bool
+	// sources are the peers that report about other nodes, and claims what this node reports; on large sites only.
+	sources    map[string]*source
+	claims     claimLog
+	programLog programLog
 }
 
-// view is what follows from the members at a time.
+// view is the state derived from the members at one time.
 type view struct {
 	at time.Duration
-	// live are the peers that answer, in no order.
+	// live are the live peers that are not suspect, in no order.
 	live []Info
-	// hubs are the hubs of each failure domain, the first one first; only on large sites.
+	// hubs are the hubs of each failure domain in the order of byPower; on large sites only.
 	hubs map[string][]Info
-	// near is the number of peers in this failure domain.
-	near int
+	// domainPeers is the number of peers in this failure domain, live or not.
+	domainPeers int
 }
 
-// NewMembers returns the members as seen by a node that knows only itself and the names of the failure domains.
+// NewMembers returns the membership of a node that has no peers yet; domains are the failure domains in the settings.
 func NewMembers(timer hgtimer.Timer, self Info, domains ...string) *Members {
 	return &Members{
-		timer: timer, made: timer.Now(), self: self, members: map[string]*member{}, domains: domains, changed: true,
-		sources: map[string]*source{}, claims: newClaimLog(), begun: newBegunLog(),
+		timer: timer, created: timer.Now(), self: self, members: map[string]*member{}, domains: domains, dirty: true,
+		sources: map[string]*source{}, claims: newClaimLog(), programLog: newProgramLog(),
 	}
 }
 
-// SetInFlight sets the number of this node's requests on each replica.
+// SetInFlight sets the number of this node's requests on each replica, which it reports to peers.
 func (m *Members) SetInFlight(n map[string]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ownInFlight = n
 	if len(n) > 0 {
-		m.busy = m.timer.Now()
+		m.lastBusy = m.timer.Now()
 	}
 }
 
-// Age returns the time since the members were made, at the start of the node.
-func (m *Members) Age() time.Duration { return m.timer.Now() - m.made }
+// Age returns the time since m was created at the start of the node. It also serves as a monotonic clock.
+func (m *Members) Age() time.Duration { return m.timer.Now() - m.created }
 
-// Self returns what this node says of itself.
+// Self returns the Info that this node sends to peers.
 func (m *Members) Self() Info {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// SetSelf changes what this node says of itself.
+// SetSelf replaces the Info of this node by change's result, with a new revision if the two differ.
 func (m *Members) SetSelf(change func(i Info) Info) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if next := change(m.self); next != m.self {
 		next.Revision = m.self.Revision + 1
-		m.self, m.changed = next, true
+		m.self, m.dirty = next, true
 	}
-	m.noteTrouble(m.self)
+	m.noteOutage(m.self)
 }
 
-// troubleTime is how long after the last sign of trouble rows may tell less than was taken.
-const troubleTime = 3 * time.Second
+// staleRowsTime is how long after the last sign of an outage the store's rows may understate the tokens taken.
+const staleRowsTime = 3 * time.Second
 
-// noteTrouble remembers that a node is without the store; m.mu is held.
-func (m *Members) noteTrouble(i Info) {
+// noteOutage updates lastOutage if a node is without the store or has tokens that are not in a row; m.mu is held.
+func (m *Members) noteOutage(i Info) {
 	if i.Ready && !i.StoreOK || i.Unsaved {
-		m.troubled = m.timer.Now()
+		m.lastOutage = m.timer.Now()
 	}
 }
 
-// Troubled says whether a node has lately been without the store, or has taken tokens that no row tells of.
+// Troubled reports whether this node or a peer has been without the store, or has taken tokens that are not in a row, within
+// staleRowsTime.
 func (m *Members) Troubled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// On a large site peers repeat nothing, so that the trouble of a live one lasts as long as it says so.
+	// On a large site updates hold changes only, so the last known Info of each live peer is evaluated here again.
 	if m.isLarge() {
 		for _, i := range m.live() {
-			m.noteTrouble(i)
+			m.noteOutage(i)
 		}
 	}
-	return m.troubled > 0 && m.timer.Now()-m.troubled < troubleTime
+	return m.lastOutage > 0 && m.timer.Now()-m.lastOutage < staleRowsTime
 }
 
-// SetNamed tells of the nodes that the store names; they count as live only when they have answered.
+// SetNamed sets the nodes that have a row in the store. A row alone does not make a node live.
 func (m *Members) SetNamed(nodes []Info) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.named = map[string]bool{}
+	m.registered = map[string]bool{}
 	for _, i := range nodes {
-		m.named[i.Name] = true
-		m.introduce(i)
+		m.registered[i.Name] = true
+		m.upsert(i)
 	}
 }
 
-// introduce takes what is said of a node, by itself, a peer or the store, and returns it; nil if it is this node. m.mu is held.
-func (m *Members) introduce(i Info) *member {
+// upsert adds or updates the member for an Info that came from the node itself, a peer or the store. It returns nil if the
+// Info is of this node or has no name. m.mu is held.
+func (m *Members) upsert(i Info) *member {
 	if i.Name == m.self.Name || i.Name == "" {
 		return nil
 	}
 	now := m.timer.Now()
 	have, ok := m.members[i.Name]
-	m.noteTrouble(i)
+	m.noteOutage(i)
 	if !ok {
-		have = &member{info: i, since: now}
-		m.members[i.Name], m.changed = have, true
+		have = &member{info: i, added: now}
+		m.members[i.Name], m.dirty = have, true
 	}
-	have.known = now
-	m.update(have, i)
+	have.lastMentioned = now
+	m.merge(have, i)
 	return have
 }
 
-// update takes over what a node says of itself unless more is known; m.mu is held.
-func (m *Members) update(p *member, i Info) {
+// merge replaces the Info of a member unless the one it has is newer; m.mu is held.
+func (m *Members) merge(p *member, i Info) {
 	if p.info == i || !i.isNewer(p.info) {
 		return
 	}
 	if p.info.Boot != i.Boot {
-		p.suspect, p.missed = 0, 0
+		p.suspectUntil, p.missed = 0, 0
 	}
-	p.info, m.changed = i, true
+	p.info, m.dirty = i, true
 }
 
-// isNewer says whether a node has said something later than something else, in this run or one before.
+// isNewer reports whether i is at least as recent as o, of the same node: from a later start of the process, or from the
+// same start with no lower revision.
 func (i Info) isNewer(o Info) bool {
 	if i.Started != o.Started {
 		return i.Started > o.Started
@@ -194,58 +202,59 @@
 	return i.Revision >= o.Revision
 }
 
-// Heard takes the answer of a peer to a heartbeat of this node.
+// Heard records the reply of a peer to a heartbeat of this node, and applies the update in it.
 func (m *Members) Heard(b Beat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if p := m.hear(b); p != nil && b.News != nil {
-		m.takeNews(p.info, *b.News)
+	if p := m.recordHeartbeat(b); p != nil && b.News != nil {
+		m.applyUpdate(p.info, *b.News)
 	}
 }
 
-// hear takes what a peer has said itself; m.mu is held.
-func (m *Members) hear(b Beat) *member {
-	p := m.introduce(b.Info)
+// recordHeartbeat records that a heartbeat or a reply came from the peer itself, and returns its member; nil as in upsert.
+// m.mu is held.
+func (m *Members) recordHeartbeat(b Beat) *member {
+	p := m.upsert(b.Info)
 	if p == nil {
 		return nil
 	}
 	now := m.timer.Now()
-	m.changed = m.changed || !p.answered || !m.isDirect(p, now)
-	p.answered, p.heard, p.missed = true, now, 0
+	m.dirty = m.dirty || !p.answered || !m.heardRecently(p, now)
+	p.answered, p.lastHeard, p.missed = true, now, 0
 	if !b.Ask.SignOnly {
 		p.inFlight = b.InFlight
 	}
 	return p
 }
 
-// Suspect passes a peer over for a short time, after a message to it failed.
+// Suspect marks a peer as suspect for suspectTime, after a call to it failed. A suspect peer is not live.
 func (m *Members) Suspect(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if have, ok := m.members[name]; ok {
-		have.suspect = m.timer.Now() + suspectFor
-		m.changed = true
+		have.suspectUntil = m.timer.Now() + suspectTime
+		m.dirty = true
 	}
 }
 
-// All returns the peers that are known.
+// All returns all known peers, live or not, in no order.
 func (m *Members) All() []Info {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forget()
+	m.prune()
 	return lo.MapToSlice(m.members, func(_ string, p *member) Info { return p.info })
 }
 
-// forget drops peers that the store does not name and nobody else has for long; m.mu is held.
-func (m *Members) forget() {
+// prune removes the peers that have no row in the store and that nobody has mentioned for forgetAfter; m.mu is held.
+func (m *Members) prune() {
 	now := m.timer.Now()
 	known := len(m.members)
-	maps.DeleteFunc(m.members, func(name string, p *member) bool { return !m.named[name] && now-p.known > forgetAfter })
+	maps.DeleteFunc(m.members, func(name string, p *member) bool { return !m.registered[name] && now-p.lastMentioned > forgetAfter })
 	maps.DeleteFunc(m.sources, func(name string, _ *source) bool { return m.members[name] == nil })
-	m.changed = m.changed || len(m.members) < known
+	m.dirty = m.dirty || len(m.members) < known
 }
 
-// Live returns the peers that answer, in the order of their names.
+// Live returns the live peers that are not suspect, ordered by name.
 func (m *Members) Live() (live []Info) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -254,111 +263,115 @@
 	return live
 }
 
-// Pace returns the time between two heartbeats to a peer of this failure domain.
+// Pace returns the present heartbeat period: the time between two heartbeats to a peer of this failure domain.
 func (m *Members) Pace() (period time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.period()
 }
 
-// period returns the time between two heartbeats. On a large site it grows with the failure domain, as the hubs hear all
-// nodes of it; m.mu is held.
+// period returns the heartbeat period. On a large site it grows with the number of nodes in the failure domain instead of
+// the site, because a hub receives heartbeats from all of these; m.mu is held.
 func (m *Members) period() time.Duration {
 	peers := len(m.members)
 	if m.isLarge() {
-		peers = m.last.near
+		peers = m.cachedView.domainPeers
 	}
-	return basePeriod + time.Duration(max(peers-fewPeers, 0))*perPeer
+	return basePeriod + time.Duration(max(peers-basePeriodPeers, 0))*periodPerPeer
 }
 
-// silent returns the time without an answer after which a peer counts as gone; m.mu is held.
-func (m *Members) silent(domain string) time.Duration {
+// silenceTimeout returns the time without a heartbeat after which a peer in a failure domain is no longer live; m.mu is
+// held.
+func (m *Members) silenceTimeout(domain string) time.Duration {
 	if domain == m.self.Domain || m.isLarge() {
-		return silentBeats * m.period()
+		return maxMissedBeats * m.period()
 	}
-	return silentBeats * farBeats * m.period()
+	return maxMissedBeats * remoteBeatPeriods * m.period()
 }
 
-// isDirect says whether a peer was itself heard lately; m.mu is held.
-func (m *Members) isDirect(p *member, now time.Duration) bool {
-	return p.answered && now-p.heard < m.silent(p.info.Domain)
+// heardRecently reports whether the peer itself was last heard from within its silence timeout; m.mu is held.
+func (m *Members) heardRecently(p *member, now time.Duration) bool {
+	return p.answered && now-p.lastHeard < m.silenceTimeout(p.info.Domain)
 }
 
-// live returns the peers that answer, which the caller does not change; m.mu is held.
-func (m *Members) live() []Info { return m.look().live }
+// live returns the live peers. The slice is shared: the caller must not modify it. m.mu is held.
+func (m *Members) live() []Info { return m.currentView().live }
 
-// look returns what follows from the members now; m.mu is held.
-func (m *Members) look() *view {
+// currentView returns the cached view, computed anew if it is dirty or older than viewTTL; m.mu is held.
+func (m *Members) currentView() *view {
 	now := m.timer.Now()
-	if !m.changed && now-m.last.at < viewFor {
-		return &m.last
+	if !m.dirty && now-m.cachedView.at < viewTTL {
+		return &m.cachedView
 	}
 	v := view{at: now}
 	for _, p := range m.members {
 		if p.info.Domain == m.self.Domain {
-			v.near++
+			v.domainPeers++
 		}
 	}
-	m.last.near = v.near
+	m.cachedView.domainPeers = v.domainPeers
 	fresh := m.freshSources(now)
 	for name, p := range m.members {
 		claimed := isClaimed(name, fresh)
 		if claimed {
-			p.claimed, p.known = now, now
+			p.lastClaimed, p.lastMentioned = now, now
 		}
-		if (claimed || m.isDirect(p, now)) && now >= p.suspect {
+		if (claimed || m.heardRecently(p, now)) && now >= p.suspectUntil {
 			v.live = append(v.live, p.info)
 		}
 	}
 	if m.isLarge() {
 		v.hubs = m.hubs()
 	}
-	m.last, m.changed = v, false
-	return &m.last
+	m.cachedView, m.dirty = v, false
+	return &m.cachedView
 }
 
-// Concerned returns the peers that may have a part in programs. Silence is no sign of a peer's end: one that is cut off may
-// serve callers, so that it stays concerned for concernFor unless it has said that it stops.
-func (m *Members) Concerned() (peers []Info) {
+// PossibleParticipants returns the peers that may take part in programs. Silence does not prove that a peer has ended: behind
+// a network partition it may still serve callers. It is therefore included until participantTimeout after the last sign of
+// it. A peer that has announced its stop is included for maxMissedBeats*remoteBeatPeriods heartbeat periods only.
+func (m *Members) PossibleParticipants() (peers []Info) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.look()
+	m.currentView()
 	now := m.timer.Now()
 	for _, p := range m.members {
-		limit := concernFor
+		limit := participantTimeout
 		if p.info.Stopping {
-			limit = silentBeats * farBeats * m.period()
+			limit = maxMissedBeats * remoteBeatPeriods * m.period()
 		}
-		if p.answered && now-p.heard < limit || p.claimed > 0 && now-p.claimed < limit || now-p.since < limit {
+		if p.answered && now-p.lastHeard < limit || p.lastClaimed > 0 && now-p.lastClaimed < limit || now-p.added < limit {
 			peers = append(peers, p.info)
 		}
 	}
 	return peers
 }
 
-// IsMajority says whether a node and some of its peers are most of all nodes that are known and have not stopped.
+// IsMajority reports whether this node and a number of peers are a majority of the known nodes that have not announced their
+// stop.
 func (m *Members) IsMajority(peers int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isMajority(peers)
 }
 
+// isMajority is IsMajority with m.mu held.
 func (m *Members) isMajority(peers int) bool {
 	known := lo.CountBy(lo.Values(m.members), func(p *member) bool { return !p.info.Stopping })
 	return 2*(peers+1) > known+1
 }
 
-// IsApart says whether this node hears no majority of all nodes, so that others may hold it for gone.
+// IsApart reports whether this node and its live peers are no majority, so that the other nodes may treat it as gone.
 func (m *Members) IsApart() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.isMajority(len(m.live()))
 }
 
-// HeardWithin says whether a peer was itself heard within a time.
+// HeardWithin reports whether the peer itself was last heard from, and not only through others, within the last d.
 func (m *Members) HeardWithin(name string, d time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p, ok := m.members[name]
-	return ok && p.answered && m.timer.Now()-p.heard < d
+	return ok && p.answered && m.timer.Now()-p.lastHeard < d
 }
--- a/internal/peer/hgpeer/members_test.go
+++ b/internal/peer/hgpeer/members_test.go
@@ -13,7 +13,7 @@
 	"hyssopgrade/internal/peer/hgpeer"
 )
 
-// clock is a timer whose time is set.
+// clock is a timer whose time the test sets.
 type clock struct {
 	hgtimer.Timer
 	now time.Duration
@@ -25,7 +25,7 @@
 	return hgpeer.Info{Name: name, Boot: "1", Domain: domain, StoreOK: true, Ready: true}
 }
 
-// stopped returns what a node says of itself while it stops.
+// stopped returns the Info of a node that has announced its stop.
 func stopped(name, domain string) hgpeer.Info {
 	i := info(name, domain)
 	i.Stopping, i.Revision = true, 1
@@ -38,16 +38,17 @@
 	return all
 }
 
-// A node counts as live when it has answered, and as possibly concerned until it has been silent for long.
+// A peer that is silent behind a network partition may still serve callers. It must leave the live peers soon, but stay a
+// possible participant until the timeout unless it has announced its stop.
 func TestMembers(t *testing.T) {
 	c := &clock{now: time.Minute}
 	m := hgpeer.NewMembers(c, info("a", "north"))
 	m.SetNamed([]hgpeer.Info{info("b", "north"), info("c", "south")})
 	steps := []struct {
-		name            string
-		at              time.Duration
-		do              func()
-		live, concerned []string
+		name               string
+		at                 time.Duration
+		do                 func()
+		live, participants []string
 	}{
 		{"only named", 0, func() {}, []string{}, []string{"b", "c"}},
 		{"both answer", 100 * time.Millisecond, func() {
@@ -71,13 +72,14 @@
 		if diff := cmp.Diff(s.live, names(m.Live())); diff != "" {
 			t.Errorf("%s: live (-want +got):\n%s", s.name, diff)
 		}
-		if diff := cmp.Diff(s.concerned, names(m.Concerned())); diff != "" {
-			t.Errorf("%s: concerned (-want +got):\n%s", s.name, diff)
+		if diff := cmp.Diff(s.participants, names(m.PossibleParticipants())); diff != "" {
+			t.Errorf("%s: possible participants (-want +got):\n%s", s.name, diff)
 		}
 	}
 }
 
-// Programs are served in the failure domain by nodes that reach the store; without such a node all nodes choose alike.
+// A program's owner must reach the store and be in the failure domain, if there is such a node. If no node reaches the store,
+// all nodes must select the same owner, or a program would have several.
 func TestOwner(t *testing.T) {
 	down := func(i hgpeer.Info) hgpeer.Info {
 		i.StoreOK = false
@@ -126,8 +128,8 @@
 	}
 }
 
-// Only a node that has lost the store and does not stop is asked to go on with what it has taken before.
-func TestCutOwner(t *testing.T) {
+// Only a node that has lost the store and is not stopping may be asked to go on with the tokens it has taken before.
+func TestDisconnectedOwner(t *testing.T) {
 	tests := map[string]struct {
 		change func(i hgpeer.Info) hgpeer.Info
 		ok     bool
@@ -150,22 +152,23 @@
 		t.Run(name, func(t *testing.T) {
 			m := hgpeer.NewMembers(&clock{now: time.Minute}, tt.change(info("a", "north")))
 			m.Heard(hgpeer.Beat{Info: info("b", "north")})
-			cut := 0
+			disconnected := 0
 			for i := range 50 {
-				owner, self, ok := m.CutOwner(string(rune('A' + i)))
+				owner, self, ok := m.DisconnectedOwner(string(rune('A' + i)))
 				if ok && (!tt.ok || !self || owner.Name != "a") {
 					t.Errorf("%q is asked without the store", owner.Name)
 				}
-				cut += lo.Ternary(ok, 1, 0)
+				disconnected += lo.Ternary(ok, 1, 0)
 			}
-			if (cut > 0) != tt.ok {
-				t.Errorf("%d of 50 programs go on without the store", cut)
+			if (disconnected > 0) != tt.ok {
+				t.Errorf("%d of 50 programs go on without the store", disconnected)
 			}
 		})
 	}
 }
 
-// A node counts as apart from the others when it hears no majority; those that have stopped do not count.
+// A node that reaches no majority must know it, because the others may treat it as gone. Nodes that have announced their stop
+// do not count.
 func TestMajority(t *testing.T) {
 	tests := map[string]struct {
 		heard, silent, stopped int
@@ -200,7 +203,7 @@
 				t.Errorf("apart %v, want %v", apart, tc.apart)
 			}
 			if m.IsMajority(tc.heard) == tc.apart {
-				t.Error("majority and apart do not agree")
+				t.Error("IsMajority and IsApart disagree")
 			}
 		})
 	}
--- a/internal/peer/hgpeer/message.go
+++ b/internal/peer/hgpeer/message.go
@@ -8,92 +8,99 @@
 	"hyssopgrade/internal/state/hgledger"
 )
 
-// Info is what a node says of itself.
+// Info describes a node to its peers; each node issues its own.
 type Info struct {
-	// Name is the node's name and Boot the run of its process.
+	// Name is the node's name, and Boot identifies the run of its process.
 	Name, Boot string
 	// Peer is the address for other nodes, and Public the one for callers.
 	Peer, Public string
-	Domain       string
-	// Started is when the process started, in Unix milliseconds, and Revision grows with each change of what it says.
+	// Domain is the failure domain of the node.
+	Domain string
+	// Started is when the process started, in Unix milliseconds, and Revision grows with each change of the Info.
 	Started  int64
 	Revision uint64
-	// Power is the processor of the node, in cores.
+	// Power is the processor capacity of the node, in cores.
 	Power float64
-	// Ready says that the node serves callers; Stopping that it will end soon.
+	// Ready says that the node serves callers, and Stopping that it shuts down.
 	Ready, Stopping bool
 	// StoreOK says that the node reaches the store.
 	StoreOK bool
-	// Unsaved says that the node has taken tokens that no row tells of.
+	// Unsaved says that the node has taken tokens that are not yet in a row of the store.
 	Unsaved bool
 	// KnowsAll says that the node knows all programs of its failure domain within the retention time.
 	KnowsAll bool
 }
 
-// Beat is a heartbeat, and the answer to one.
+// Beat is a heartbeat, and the reply to one.
 type Beat struct {
 	Info Info
 	// Changed holds the version of the newest change of each watched table.
 	Changed map[string]uint64
 	// InFlight is the number of the node's requests on each replica.
 	InFlight map[string]int
-	// Programs are those that the node has begun to serve since its last heartbeat, by digest, for its own failure domain.
+	// Programs are the digests of the programs that the node has started to serve since its last heartbeat. They are sent
+	// within the failure domain only.
 	Programs []uint64
-	// Leaving are the runs of replicas that have told that they leave while they are listed as ready.
+	// Leaving are the runs of replicas that have announced that they leave but are still registered as ready.
 	Leaving []hgreplica.Lifetime
-	// Suspects brings the lists of requests that break off replicas into agreement.
+	// Suspects synchronizes the lists of requests that crash replicas.
 	Suspects hgsuspect.Exchange
-	// Ask is what a heartbeat asks for, and News what the answer to one tells; only on large sites.
-	Ask  Ask
-	News *News
+	// Ask says what the reply to a heartbeat is to contain, and News is that part of the reply. News is nil on small sites.
+	Ask  GossipQuery
+	News *GossipUpdate
 }
 
-// SeenReply lists the programs that a node knows of, by digest, and says whether that is all there are nearby.
+// SeenReply lists the digests of the programs that a node knows. Complete says that they are all programs of its failure
+// domain within the retention time.
 type SeenReply struct {
 	Programs []uint64
 	Complete bool
 }
 
-// OKReply says whether a copy is held.
+// OKReply says whether the peer holds the copy that was sent to it.
 type OKReply struct{ OK bool }
 
-// TableRequest asks for the copy of a watched table.
+// TableRequest asks for a peer's copy of a watched table, by name.
 type TableRequest struct{ Table string }
 
-// Handler answers the messages of peers.
+// Handler handles the calls of peers.
 type Handler interface {
-	// Beat takes a heartbeat and returns this node's.
+	// Beat records a heartbeat and returns the reply.
 	Beat(b Beat) Beat
-	// Table returns the copy of a watched table.
+	// Table returns this node's copy of a watched table; an empty one if the table is not watched.
 	Table(q TableRequest) hgfeed.Copy
-	// Open and Close serve a program for a peer.
+	// Open and Close open and settle a turn of a program for a peer.
 	Open(q hgledger.OpenRequest) hgledger.OpenReply
 	Close(q hgledger.CloseRequest) error
-	// Copy holds a copy of what the peer has taken of a budget.
+	// Copy stores a copy of what the peer has taken of a program's budget.
 	Copy(c hgledger.Copy) OKReply
-	// Part says what this node knows to be taken of a program's budget.
+	// Part returns whether this node has taken part in a program, and what it knows to be taken of the budget.
 	Part(q hgledger.SoleRequest) hgledger.SoleReply
-	// Seen returns the programs that this node knows of.
+	// Seen returns the programs that this node knows.
 	Seen() SeenReply
-	// Place gives a place to a peer's request, and Leave ends it.
+	// Place reserves a place on a replica for a request of a peer, and Leave releases it.
 	Place(a hgplacer.Ask) PlaceReply
 	Leave(q LeaveRequest)
 }
 
-// PlaceReply is a place on a replica, or says why there is none.
+// PlaceReply is a place on a replica, or a verdict that says why there is none.
 type PlaceReply struct {
-	Verdict            hgplacer.Verdict
+	Verdict hgplacer.Verdict
+	// Replica is the replica to send the request to, and FetchFrom the one to fetch cached tokens from, or empty.
 	Replica, FetchFrom string
-	Why                hgreplica.Why
-	// Load is the placer's load of the service, as a multiple of its slots.
+	// Why holds the figures that decided for the replica.
+	Why hgreplica.Why
+	// Load is the load of the service as the placer sees it, as a multiple of its slots.
 	Load float64
 }
 
-// LeaveRequest ends a request for a place, or the use of one.
+// LeaveRequest cancels a request for a place, or releases the place.
 type LeaveRequest struct {
-	ID      string
+	// ID is the identifier of the request for the place.
+	ID string
+	// Outcome is what the node saw of the replica; the zero value if the request was not sent.
 	Outcome hgreplica.Outcome
 }
 
-// Empty is a message without content.
+// Empty is a request or a reply without content.
 type Empty struct{}
--- a/internal/peer/hgpeer/owner.go
+++ b/internal/peer/hgpeer/owner.go
@@ -9,9 +9,10 @@
 	"github.com/samber/lo"
 )
 
-// Owner returns the node that serves a program: by rendezvous hashing one that reaches the store, in this node's
-// failure domain if there is one, as callers of a domain mostly enter in it. Self says that it is this node. Offline says
-// that no node reaches the store, so that the owner can only use what it has in memory; all nodes then choose alike.
+// Owner returns the node that owns a program, by rendezvous hashing over the nodes that reach the store. Nodes of this
+// failure domain are preferred, because the callers of a domain mostly enter in it. Self says that the owner is this node.
+// Offline says that no node reaches the store: the owner can then use only what it has in memory, and is selected from all
+// domains, so that all nodes select the same one.
 func (m *Members) Owner(program string) (owner Info, self, offline bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -23,29 +24,30 @@
 	if offline = len(nodes) == 0; offline {
 		nodes = all
 	}
-	if near := m.near(nodes); len(near) > 0 && !offline {
-		nodes = near
+	if local := m.inOwnDomain(nodes); len(local) > 0 && !offline {
+		nodes = local
 	}
 	owner = rendezvous(nodes, program)
 	return owner, owner.Name == m.self.Name, offline
 }
 
-// CutOwner returns the node of this failure domain that has served a program until it lost the store; ok is false if the
-// one that serves programs here reaches it.
-func (m *Members) CutOwner(program string) (owner Info, self, ok bool) {
+// DisconnectedOwner returns the node of this failure domain that owned a program until it lost the store; ok is false if the
+// owner in this domain reaches the store. Self says that it is this node.
+func (m *Members) DisconnectedOwner(program string) (owner Info, self, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	near := lo.Reject(append(m.near(m.live()), m.self), func(i Info, _ int) bool { return i.Stopping })
-	owner = rendezvous(near, program)
+	local := lo.Reject(append(m.inOwnDomain(m.live()), m.self), func(i Info, _ int) bool { return i.Stopping })
+	owner = rendezvous(local, program)
 	return owner, owner.Name == m.self.Name, owner.Name != "" && !owner.StoreOK
 }
 
-// near returns the nodes of this failure domain.
-func (m *Members) near(nodes []Info) []Info {
+// inOwnDomain returns the nodes that are in this node's failure domain.
+func (m *Members) inOwnDomain(nodes []Info) []Info {
 	return lo.Filter(nodes, func(i Info, _ int) bool { return i.Domain == m.self.Domain })
 }
 
-// rendezvous returns the node that a program hashes to, the same one for all that know the same nodes.
+// rendezvous returns the strong node with the highest hash for a program. Nodes that know the same members select the same
+// one.
 func rendezvous(nodes []Info, program string) (owner Info) {
 	var most uint64
 	for _, i := range Strong(nodes) {
@@ -56,8 +58,8 @@
 	return owner
 }
 
-// Placer returns the node that places the requests of this failure domain: the one with the most processor among those
-// that answer. Nodes may differ for a moment; then replicas get more than they run at once.
+// Placer returns the node that places the requests of this failure domain: the ready one with the most processor cores.
+// Self says that it is this node. Nodes may disagree for a moment; replicas then get more requests than they run at once.
 func (m *Members) Placer() (placer Info, self bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +76,7 @@
 	return best, best.Name == m.self.Name || best.Name == ""
 }
 
-// byPower orders nodes by their processor, the strongest first, and by name.
+// byPower compares nodes by processor capacity, the largest first, and then by name.
 func byPower(a, b Info) int {
 	return cmp.Or(cmp.Compare(b.Power, a.Power), strings.Compare(a.Name, b.Name))
 }
--- a/internal/peer/hgpeer/places.go
+++ b/internal/peer/hgpeer/places.go
@@ -12,117 +12,123 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Places asks the node that places the requests of this failure domain, and chooses itself if that one does not answer.
+// Places gets places on replicas from the placer, the node that places the requests of this failure domain. It selects a
+// replica itself if the placer does not answer.
 type Places struct {
 	placer  *hgplacer.Placer
 	set     *hgreplica.Set
 	members *Members
 	client  *Client
 	log     *slog.Logger
-	// asked is the number of questions so far, which makes their identifiers unique.
-	asked atomic.Int64
+	// sequence is the number of requests for a place so far, which makes their identifiers unique.
+	sequence atomic.Int64
 
 	mu sync.Mutex
-	// loads is what the placer said of each service.
-	loads map[string]heardLoad
-	// answered is when each placer last answered a question.
-	answered map[string]time.Duration
+	// loads are the placer's latest load reports, by service.
+	loads map[string]loadReport
+	// lastAnswer is when each placer last answered a request, by name.
+	lastAnswer map[string]time.Duration
 }
 
-type heardLoad struct {
+// loadReport is the load of a service that the placer reported, and when.
+type loadReport struct {
 	load float64
 	at   time.Duration
 }
 
-// NewPlaces returns the places of a site as one of its nodes gives and asks for them.
+// NewPlaces returns the Places of a node. It uses p while the node itself is the placer, and s when the placer does not
+// answer.
 func NewPlaces(p *hgplacer.Placer, s *hgreplica.Set, m *Members, c *Client, log *slog.Logger) *Places {
-	return &Places{placer: p, set: s, members: m, client: c, log: log, loads: map[string]heardLoad{}, answered: map[string]time.Duration{}}
+	return &Places{placer: p, set: s, members: m, client: c, log: log, loads: map[string]loadReport{}, lastAnswer: map[string]time.Duration{}}
 }
 
-// spareWait is what a message may take beyond the wait in the placer's queue.
-const spareWait = 300 * time.Millisecond
+// replyMargin is what a call may take beyond the wait in the placer's queue.
+const replyMargin = 300 * time.Millisecond
 
-// Take waits for a place; the lease is nil if there is none.
+// Take waits for a place on a replica. The lease is nil if the verdict is not hgplacer.Granted.
 func (p *Places) Take(ctx context.Context, a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict) {
-	// Callers choose their identifiers, and may use one twice.
-	a.ID = fmt.Sprintf("%s/%s/%d", a.ID, p.members.Self().Boot, p.asked.Add(1))
+	// Callers choose the identifiers of their requests and may use one twice, but the placer needs unique ones.
+	a.ID = fmt.Sprintf("%s/%s/%d", a.ID, p.members.Self().Boot, p.sequence.Add(1))
 	placer, self := p.members.Placer()
 	if self {
 		return p.placer.Place(ctx, a)
 	}
 	reply, err := p.ask(ctx, placer, a)
-	left := func(o hgreplica.Outcome) { go p.leave(placer, a.ID, o) }
+	release := func(o hgreplica.Outcome) { go p.leave(placer, a.ID, o) }
 	switch {
 	case err != nil && ctx.Err() != nil:
-		left(hgreplica.Outcome{})
+		release(hgreplica.Outcome{})
 		return nil, hgplacer.Expired
 	case err != nil:
-		p.log.Warn("placer did not answer", "peer", placer.Name, "ask", a.ID, "error", err)
-		left(hgreplica.Outcome{})
-		return p.pick(a)
+		p.log.Warn("placer did not answer; selecting a replica locally", "peer", placer.Name, "ask", a.ID, "error", err)
+		release(hgreplica.Outcome{})
+		return p.pickLocally(a)
 	case reply.Verdict != hgplacer.Granted:
-		p.heard(a.Want.Service, reply.Load)
+		p.noteLoad(a.Want.Service, reply.Load)
 		return nil, reply.Verdict
 	}
-	p.heard(a.Want.Service, reply.Load)
-	l, ok := p.set.Adopt(reply.Replica, reply.FetchFrom, reply.Why, left)
+	p.noteLoad(a.Want.Service, reply.Load)
+	l, ok := p.set.Adopt(reply.Replica, reply.FetchFrom, reply.Why, release)
 	if !ok {
-		// The placer does not know yet that the replica leaves.
-		left(hgreplica.Outcome{})
-		return p.pick(a)
+		// This node cannot use the replica, which the placer does not know yet: the replica leaves, another one has its
+		// address, or this node has no registration of it.
+		release(hgreplica.Outcome{})
+		return p.pickLocally(a)
 	}
 	return l, hgplacer.Granted
 }
 
-// signTime is how long a placer may go without an answer to any question while one is open. Answers take a millisecond or
-// two, and places become free all the time even while all requests wait.
-const signTime = 100 * time.Millisecond
+// placerSilence is how long a placer may answer no request at all while one is pending. An answer takes 1 to 2 ms, and even
+// while all requests wait, places become free all the time.
+const placerSilence = 100 * time.Millisecond
 
-// ask asks a placer, and gives up when there is no sign of it.
+// ask requests a place from the placer, and gives up when the placer has answered no request for placerSilence.
 func (p *Places) ask(ctx context.Context, placer Info, a hgplacer.Ask) (reply PlaceReply, err error) {
 	began := p.members.Age()
-	patience := patience{limit: a.Wait + spareWait, tick: signTime, isSilent: func() bool { return p.silentSince(placer.Name, began) >= signTime }}
-	reply, err = await(ctx, p.members, placer, patience, func(ctx context.Context) (PlaceReply, error) {
+	policy := waitPolicy{timeout: a.Wait + replyMargin, checkInterval: placerSilence, isSilent: func() bool { return p.silentFor(placer.Name, began) >= placerSilence }}
+	reply, err = await(ctx, p.members, placer, policy, func(ctx context.Context) (PlaceReply, error) {
 		return p.client.Place(ctx, placer.Peer, a)
 	})
 	if err == nil {
-		p.signed(placer.Name)
+		p.noteAnswer(placer.Name)
 	}
 	return reply, err
 }
 
-// signed notes an answer of a placer.
-func (p *Places) signed(placer string) {
+// noteAnswer records that a placer has just answered a request.
+func (p *Places) noteAnswer(placer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answered[placer] = p.members.Age()
+	p.lastAnswer[placer] = p.members.Age()
 }
 
-// silentSince returns how long a placer has not answered, counted from a time at the earliest.
-func (p *Places) silentSince(placer string, from time.Duration) time.Duration {
+// silentFor returns the time since a placer last answered a request, or since from if that is later.
+func (p *Places) silentFor(placer string, from time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.members.Age() - max(p.answered[placer], from)
+	return p.members.Age() - max(p.lastAnswer[placer], from)
 }
 
-// pick chooses a replica by what this node knows.
-func (p *Places) pick(a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict) {
+// pickLocally selects a replica by what this node knows, without the placer.
+func (p *Places) pickLocally(a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict) {
 	if l, ok := p.set.Pick(a.Want); ok {
 		return l, hgplacer.Granted
 	}
 	return nil, hgplacer.NoReplica
 }
 
-// loadFor is how long the load that the placer said is taken for the present one.
-const loadFor = 200 * time.Millisecond
+// loadTTL is how long a load report of the placer is used.
+const loadTTL = 200 * time.Millisecond
 
-func (p *Places) heard(service string, load float64) {
+// noteLoad records a load report of the placer.
+func (p *Places) noteLoad(service string, load float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loads[service] = heardLoad{load: load, at: p.members.Age()}
+	p.loads[service] = loadReport{load: load, at: p.members.Age()}
 }
 
-// IsFull says whether replicas are known to be too full for a new program of a rank, without asking.
+// IsFull reports whether the replicas of a service are too loaded for a new program of a priority. It makes no call: it uses
+// the placer's latest load report and is false without a recent one, unless this node is the placer itself.
 func (p *Places) IsFull(service string, priority int) bool {
 	if _, self := p.members.Placer(); self {
 		return hgplacer.IsFull(p.placer.Load(service), priority)
@@ -130,21 +136,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h, ok := p.loads[service]
-	return ok && p.members.Age()-h.at < loadFor && hgplacer.IsFull(h.load, priority)
+	return ok && p.members.Age()-h.at < loadTTL && hgplacer.IsFull(h.load, priority)
 }
 
-// leaveTime bounds the message that a place is free; one that is lost is overdue later.
-const leaveTime = time.Second
+// leaveTimeout bounds the call that releases a place. If the call is lost, the placer frees the place when it is overdue.
+const leaveTimeout = time.Second
 
+// leave releases a place at the placer that granted it.
 func (p *Places) leave(placer Info, id string, o hgreplica.Outcome) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := p.client.Leave(ctx, placer.Peer, LeaveRequest{ID: id, Outcome: o}); err != nil {
-		p.log.Debug("place not given back", "peer", placer.Name, "ask", id, "error", err)
+		p.log.Debug("place not released", "peer", placer.Name, "ask", id, "error", err)
 	}
 }
 
-// Serve gives a place to a peer's request.
+// Serve waits for a place for a peer's request, as the placer, and holds it until Left is called or it is overdue.
 func (p *Places) Serve(ctx context.Context, a hgplacer.Ask) PlaceReply {
 	l, v := p.placer.Place(ctx, a)
 	if v != hgplacer.Granted {
@@ -154,5 +161,5 @@
 	return PlaceReply{Verdict: v, Replica: l.ID, FetchFrom: l.FetchFrom, Why: l.Why, Load: p.placer.Load(a.Want.Service)}
 }
 
-// Left ends a peer's request.
+// Left cancels a peer's request for a place, or releases the place.
 func (p *Places) Left(q LeaveRequest) { p.placer.Leave(q.ID, q.Outcome) }
--- a/internal/peer/hgpeer/places_test.go
+++ b/internal/peer/hgpeer/places_test.go
@@ -16,7 +16,8 @@
 	"hyssopgrade/internal/state/hgledger"
 )
 
-// A placer that has fallen silent holds up no request for long, although its last heartbeat is fresh.
+// A placer that accepts connections but answers no call, with a fresh last heartbeat, must delay no request for long. The node
+// selects a replica itself and suspects the placer.
 func TestSilentPlacer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,11 +45,12 @@
 		t.Errorf("took %v, want 250 ms at most", took)
 	}
 	if _, isSelf := m.Placer(); !isSelf {
-		t.Error("the silent placer is asked again at once")
+		t.Error("the silent placer is not suspected, so that the next request waits for it again")
 	}
 }
 
-// A caller that leaves while its request waits casts no suspicion on the placer, nor on the node that opens its turn.
+// A caller that disconnects cancels the call to the placer, or to the node that opened its turn. That must not make the peer a
+// suspect.
 func TestCallerLeavesPlacer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,13 +81,13 @@
 			do(ctx)
 			time.Sleep(20 * time.Millisecond)
 			if _, isSelf := m.Placer(); isSelf {
-				t.Error("suspected")
+				t.Error("the peer is suspected after its caller has left")
 			}
 		})
 	}
 }
 
-// Two requests with the same identifier, as a faulty caller may send, get a place each, and hold up nobody.
+// A faulty caller may send two requests with the same identifier. Each must get a place, and neither may block the other.
 func TestSameAttemptTwice(t *testing.T) {
 	timer := hgtimer.NewService()
 	defer timer.Close()
@@ -116,7 +118,7 @@
 				t.Errorf("verdict %s", v)
 			}
 		case <-time.After(2 * time.Second):
-			t.Fatal("held up")
+			t.Fatal("no place within 2s")
 		}
 	}
 }
--- a/internal/peer/hgpeer/rpc.go
+++ b/internal/peer/hgpeer/rpc.go
@@ -17,67 +17,68 @@
 )
 
 const (
-	// dialTimeout bounds a connection to a peer, which is half a millisecond away.
+	// dialTimeout bounds the connection to a peer; the latency to a peer is 0.5 ms.
 	dialTimeout = 300 * time.Millisecond
-	// rpcName is the name of the service.
+	// rpcName is the name of the net/rpc service; it is part of the protocol between nodes.
 	rpcName = "Peer"
 )
 
-// service adapts a Handler to net/rpc.
+// service adapts a Handler to net/rpc. Its method names are part of the protocol between nodes.
 type service struct{ h Handler }
 
-// Beat exchanges heartbeats.
+// Beat replies to a heartbeat with this node's own.
 func (s service) Beat(b Beat, reply *Beat) error {
 	*reply = s.h.Beat(b)
 	return nil
 }
 
-// Table returns the copy of a table.
+// Table replies with this node's copy of a watched table.
 func (s service) Table(q TableRequest, reply *hgfeed.Copy) error {
 	*reply = s.h.Table(q)
 	return nil
 }
 
-// Open opens a turn.
+// Open opens a turn in this node's ledger. A refusal is a verdict in the reply, not an error.
 func (s service) Open(q hgledger.OpenRequest, reply *hgledger.OpenReply) error {
 	*reply = s.h.Open(q)
 	return nil
 }
 
-// Close closes a turn.
+// Close settles a turn that this node opened.
 func (s service) Close(q hgledger.CloseRequest, _ *Empty) error { return s.h.Close(q) }
 
-// Copy holds a copy.
+// Copy stores a copy of what the calling node has taken of a program's budget.
 func (s service) Copy(c hgledger.Copy, reply *OKReply) error {
 	*reply = s.h.Copy(c)
 	return nil
 }
 
-// Part answers a question about a program.
+// Part replies whether this node has taken part in a program, and with what it knows to be taken of the budget.
 func (s service) Part(q hgledger.SoleRequest, reply *hgledger.SoleReply) error {
 	*reply = s.h.Part(q)
 	return nil
 }
 
-// Seen returns known programs.
+// Seen replies with the digests of the programs that this node knows.
 func (s service) Seen(_ Empty, reply *SeenReply) error {
 	*reply = s.h.Seen()
 	return nil
 }
 
-// Place gives a place.
+// Place reserves a place on a replica, as the placer of the calling node's failure domain.
 func (s service) Place(a hgplacer.Ask, reply *PlaceReply) error {
 	*reply = s.h.Place(a)
 	return nil
 }
 
-// Leave ends a request for a place.
+// Leave cancels a request for a place, or releases the place.
 func (s service) Leave(q LeaveRequest, _ *Empty) error {
 	s.h.Leave(q)
 	return nil
 }
 
-// Serve answers peers on a listener until it is closed, and then closes their connections.
+// Serve handles the calls of peers on a listener until it is closed. It then closes all connections and returns the error of
+// Accept.
 func Serve(l net.Listener, h Handler) (err error) {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName(rpcName, service{h}); err != nil {
@@ -109,18 +110,18 @@
 	}
 }
 
-// Client speaks to peers; it is safe for concurrent use.
+// Client calls peers over one connection to each; it is safe for concurrent use.
 type Client struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// dials are the connections that are being made, by address, so that messages at once share one.
+	// dials are the connections that are being established, by address, so that concurrent calls share one.
 	dials singleflight.Group
 
 	mu    sync.Mutex
 	conns map[string]*rpc.Client
 }
 
-// NewClient returns a client without connections, which are secured if there are settings for that.
+// NewClient returns a Client that connects on demand, over TLS unless secure is nil.
 func NewClient(secure *tls.Config) *Client {
 	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: time.Second}
 	c := &Client{dial: d.DialContext, conns: map[string]*rpc.Client{}}
@@ -130,14 +131,15 @@
 	return c
 }
 
-// conn returns the connection to a peer. It connects without the lock, so that one dead peer holds up no others.
+// conn returns the connection to a peer, established if necessary. It dials without holding the lock, so that one dead peer
+// does not delay calls to others.
 func (c *Client) conn(ctx context.Context, address string) (*rpc.Client, error) {
-	if conn, ok := c.have(address); ok {
+	if conn, ok := c.existing(address); ok {
 		return conn, nil
 	}
-	// The connection outlives the message that asks for it first, as others wait for it too.
-	made := c.dials.DoChan(address, func() (any, error) {
-		if conn, ok := c.have(address); ok {
+	// The dial is not canceled with the call that starts it, because other calls may wait for the same connection.
+	dialed := c.dials.DoChan(address, func() (any, error) {
+		if conn, ok := c.existing(address); ok {
 			return conn, nil
 		}
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dialTimeout)
@@ -153,7 +155,7 @@
 		return conn, nil
 	})
 	select {
-	case r := <-made:
+	case r := <-dialed:
 		if r.Err != nil {
 			return nil, r.Err
 		}
@@ -163,15 +165,15 @@
 	}
 }
 
-// have returns the connection to a peer if there is one.
-func (c *Client) have(address string) (conn *rpc.Client, ok bool) {
+// existing returns the established connection to a peer, if there is one.
+func (c *Client) existing(address string) (conn *rpc.Client, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn, ok = c.conns[address]
 	return conn, ok
 }
 
-// drop closes a connection that failed or fell silent.
+// drop closes a connection that failed or no longer answers, and removes it unless it has been replaced.
 func (c *Client) drop(address string, conn *rpc.Client) {
 	c.mu.Lock()
 	if c.conns[address] == conn {
@@ -181,24 +183,24 @@
 	conn.Close()
 }
 
-// call sends a message to a peer and waits for the answer until the context ends.
+// call calls a method of a peer and waits for the reply until the context ends.
 func call[Q, R any](ctx context.Context, c *Client, address, method string, q Q) (reply R, err error) {
-	defer func() { err = trace.Wrap(err, "peer %s %s", address, method) }()
+	defer func() { err = trace.Wrap(err, "call to peer %s, method %s", address, method) }()
 	conn, err := c.conn(ctx, address)
 	if err != nil {
 		return reply, err
 	}
-	// An answer that comes after the end of the context must not write into what the caller has by then.
-	late := new(R)
-	done := conn.Go(rpcName+"."+method, q, late, make(chan *rpc.Call, 1)).Done
+	// A reply that arrives after the context has ended must not write into the value that the caller got.
+	result := new(R)
+	done := conn.Go(rpcName+"."+method, q, result, make(chan *rpc.Call, 1)).Done
 	select {
 	case r := <-done:
 		if _, remote := r.Error.(rpc.ServerError); r.Error != nil && !remote {
 			c.drop(address, conn)
 		}
-		return *late, r.Error
+		return *result, r.Error
 	case <-ctx.Done():
-		// Only a heartbeat without an answer shows that the connection is silent; other messages may take their time.
+		// Only a heartbeat that times out shows that the connection is dead; other calls may legitimately take longer.
 		if method == "Beat" {
 			c.drop(address, conn)
 		}
@@ -206,48 +208,48 @@
 	}
 }
 
-// Beat exchanges heartbeats with a peer.
+// Beat sends a heartbeat to a peer and returns the reply. If ctx ends first, the connection is closed as dead.
 func (c *Client) Beat(ctx context.Context, address string, b Beat) (Beat, error) {
 	return call[Beat, Beat](ctx, c, address, "Beat", b)
 }
 
-// Table returns a peer's copy of a table.
+// Table returns a peer's copy of a watched table.
 func (c *Client) Table(ctx context.Context, address, table string) (hgfeed.Copy, error) {
 	return call[TableRequest, hgfeed.Copy](ctx, c, address, "Table", TableRequest{Table: table})
 }
 
-// Open opens a turn at a peer.
+// Open asks a peer to open a turn in its ledger.
 func (c *Client) Open(ctx context.Context, address string, q hgledger.OpenRequest) (hgledger.OpenReply, error) {
 	return call[hgledger.OpenRequest, hgledger.OpenReply](ctx, c, address, "Open", q)
 }
 
-// Close closes a turn at a peer.
+// Close asks the peer that opened a turn to settle it.
 func (c *Client) Close(ctx context.Context, address string, q hgledger.CloseRequest) error {
 	_, err := call[hgledger.CloseRequest, Empty](ctx, c, address, "Close", q)
 	return err
 }
 
-// Copy gives a copy to a peer.
+// Copy asks a peer to hold a copy of what this node has taken of a program's budget.
 func (c *Client) Copy(ctx context.Context, address string, q hgledger.Copy) (OKReply, error) {
 	return call[hgledger.Copy, OKReply](ctx, c, address, "Copy", q)
 }
 
-// Seen returns the programs that a peer knows of.
+// Seen returns the digests of the programs that a peer knows.
 func (c *Client) Seen(ctx context.Context, address string) (SeenReply, error) {
 	return call[Empty, SeenReply](ctx, c, address, "Seen", Empty{})
 }
 
-// Part asks what a peer knows to be taken of a program's budget.
+// Part asks a peer whether it has taken part in a program, and what it knows to be taken of the budget.
 func (c *Client) Part(ctx context.Context, address string, q hgledger.SoleRequest) (hgledger.SoleReply, error) {
 	return call[hgledger.SoleRequest, hgledger.SoleReply](ctx, c, address, "Part", q)
 }
 
-// Place asks a peer for a place.
+// Place requests a place on a replica from the placer.
 func (c *Client) Place(ctx context.Context, address string, a hgplacer.Ask) (PlaceReply, error) {
 	return call[hgplacer.Ask, PlaceReply](ctx, c, address, "Place", a)
 }
 
-// Leave tells a peer that a place is free.
+// Leave tells the placer that a request for a place is canceled, or that the place is free.
 func (c *Client) Leave(ctx context.Context, address string, q LeaveRequest) error {
 	_, err := call[LeaveRequest, Empty](ctx, c, address, "Leave", q)
 	return err
--- a/internal/peer/hgpeer/tls.go
+++ b/internal/peer/hgpeer/tls.go
@@ -8,10 +8,11 @@
 	"github.com/gravitational/trace"
 )
 
-// Secure returns the TLS settings of both sides between nodes: each shows its certificate, and takes only those that the
-// authority signed. The names are not checked, as nodes are told by their addresses and any node may serve any program.
+// Secure returns the TLS configuration for both sides of the connections between nodes. Each side presents its certificate,
+// and accepts only certificates that the authority signed. Names are not checked, because nodes are identified by their
+// addresses and any node may serve any program.
 func Secure(certFile, keyFile, authorityFile string) (cfg *tls.Config, err error) {
-	defer func() { err = trace.Wrap(err, "keys between nodes") }()
+	defer func() { err = trace.Wrap(err, "TLS keys for connections between nodes") }()
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
 		return nil, err
@@ -22,28 +23,28 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(pem) {
-		return nil, trace.BadParameter("%s holds no certificate", authorityFile)
+		return nil, trace.BadParameter("authority file %s contains no PEM certificate", authorityFile)
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: authority,
-		// The usual check would want a name; VerifyConnection does the rest of it.
+		// The standard verification requires a host name; VerifyConnection does all of it but the name.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(s tls.ConnectionState) error { return verify(s, authority) },
 	}, nil
 }
 
-// verify checks that the other side's certificate is signed by the authority and valid now.
+// verify checks that the certificate of the other side is signed by the authority and currently valid.
 func verify(s tls.ConnectionState, authority *x509.CertPool) (err error) {
 	if len(s.PeerCertificates) == 0 {
-		return trace.AccessDenied("no certificate")
+		return trace.AccessDenied("peer presented no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err = s.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: authority, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+		Roots: authority, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return trace.Wrap(err)
 }
--- a/internal/peer/hgpeer/tls_test.go
+++ b/internal/peer/hgpeer/tls_test.go
@@ -20,7 +20,8 @@
 	return a
 }
 
-// secure returns the settings of a node that one authority signed and that trusts another.
+// secure returns the TLS configuration of a node whose certificate is signed by signer and expires at end, and that trusts
+// the authority trusted.
 func secure(t testing.TB, signer, trusted *hgstandin.Authority, end time.Time) *tls.Config {
 	t.Helper()
 	cert, key, err := signer.Sign("node", end)
@@ -34,11 +35,12 @@
 	return cfg
 }
 
-// echo answers heartbeats; other messages do not come.
+// echo is a Handler that returns heartbeats; the tests make no other calls.
 type echo struct{ hgpeer.Handler }
 
 func (echo) Beat(b hgpeer.Beat) hgpeer.Beat { return b }
 
+// serve runs a server with an echo handler until the test ends.
 func serve(t testing.TB, cfg *tls.Config) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +56,8 @@
 	return address
 }
 
-// Nodes with keys speak only to nodes whose certificates the authority signed, and which are still valid.
+// A node with TLS keys must not exchange messages with a peer that has no certificate, one of another authority, or an expired
+// one. Both the server and the client have to check.
 func TestSecure(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	valid, past := time.Now().Add(time.Hour), time.Now().Add(-time.Minute)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -115,7 +115,7 @@
 red crashSilent TestCrashingRequestThatEndsReplicasSilently internal/proof/hgsite \
   internal/operate/hgedge/node.go 's/n\.set\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
 red silentPeers TestMembers internal/peer/hgpeer \
-  internal/peer/hgpeer/members.go 's/limit := concernFor/limit := silentBeats * farBeats * m.period()/'
+  internal/peer/hgpeer/members.go 's/limit := participantTimeout/limit := maxMissedBeats * remoteBeatPeriods * m.period()/'
 red saysLeaving TestLeavingReplicaSaysSoInAnswers internal/proof/hgsite \
   internal/serve/hgreplica/leaving.go 's/r\.saidLeaving = true/r.saidLeaving = false/'
 red lapse TestWatchOutage internal/state/hgfeed \
@@ -129,13 +129,13 @@
 red placerOverdue TestOverdue internal/serve/hgplacer \
   internal/serve/hgplacer/placer.go 's/now >= h\.until/false/'
 red placerDies TestPlacerDies internal/proof/hgsite \
-  internal/peer/hgpeer/places.go 's/left\(hgreplica\.Outcome\{\}\)\n\t\treturn p\.pick\(a\)\n\tcase reply/return nil, hgplacer.Expired\n\tcase reply/'
+  internal/peer/hgpeer/places.go 's/release\(hgreplica\.Outcome\{\}\)\n\t\treturn p\.pickLocally\(a\)\n\tcase reply/return nil, hgplacer.Expired\n\tcase reply/'
 red errors TestFailingReplicaDrawsFew internal/proof/hgsite \
   internal/serve/hgreplica/set.go 's/r\.streak\+\+\n\tswitch/switch/'
 red fetch TestHelpersFetch internal/proof/hgsite \
   platform/request.go 's/h\.Set\(headerFetch, s\.FetchFrom\)/_ = s/'
 red hearsay TestFleet internal/peer/hgpeer \
-  internal/peer/hgpeer/claim.go 's/p\.info\.Domain != m\.self\.Domain && isClaimed\(p\.info\.Name, farSources\)/isClaimed(p.info.Name, m.freshSources(now))/'
+  internal/peer/hgpeer/claim.go 's/p\.info\.Domain != m\.self\.Domain && isClaimed\(p\.info\.Name, remoteSources\)/isClaimed(p.info.Name, m.freshSources(now))/'
 red behind TestWatchBehind internal/state/hgfeed \
   internal/state/hgfeed/hurry.go 's/now-w\.told > behindFor/false/'
 red silentStore TestWatchSilentStore internal/state/hgfeed \
