--- a/internal/serve/hgentry/entry.go
+++ b/internal/serve/hgentry/entry.go
@@ -22,73 +22,75 @@
 	"hyssopgrade/internal/state/hgledger"
 )
 
-// Dialect reads and writes the headers of a platform.
+// Dialect translates between the HTTP headers of a platform and the types of hgattempt.
 type Dialect interface {
-	// DecodeAttempt reads the headers of a caller's request.
+	// DecodeAttempt parses the headers of a caller's request; the text of its error is sent to the caller.
 	DecodeAttempt(h http.Header) (a hgattempt.Attempt, err error)
-	// Prepare sets the headers of a request for a replica.
+	// Prepare sets the platform's headers on a request that is sent to a replica.
 	Prepare(h http.Header, s hgattempt.Send)
-	// DecodeAnswer reads the head of a replica's answer.
+	// DecodeAnswer parses status and headers of a replica's response.
 	DecodeAnswer(status int, h http.Header) hgattempt.Answer
 }
 
-// Programs decides on the turns of programs.
+// Programs opens and closes the turns of programs, with their budgets and their retained history.
 type Programs interface {
-	// Open decides whether a turn may run; owner is to be passed to Close.
+	// Open decides whether a turn may run. The caller passes owner, the node that decided, to Close.
 	Open(ctx context.Context, q hgledger.OpenRequest) (reply hgledger.OpenReply, owner hgpeer.Info)
-	// Close settles a turn; it returns when the turn to keep is durable.
+	// Close releases what is left of the turn's reservation. If the turn is to be retained, Close returns once it is durable.
 	Close(ctx context.Context, owner hgpeer.Info, q hgledger.CloseRequest) (err error)
 }
 
-// Places finds places on replicas.
-type Places interface {
-	// Take waits for a place; the lease is nil if there is none.
+// Placer queues requests for engines and grants them leases on replicas.
+type Placer interface {
+	// Take waits for a lease until a.Wait has passed or ctx ends; l is nil unless v is hgplacer.Granted.
 	Take(ctx context.Context, a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict)
-	// IsFull says whether the replicas of a service are known to be too full for a new program of a rank.
+	// IsFull reports whether the replicas of a service are known to be too busy for a new program of a route's priority.
 	IsFull(service string, priority int) bool
 }
 
-// Suspects knows the requests that break off the replicas that run them, over all entry VMs.
+// Suspects tracks requests that seem to crash the replicas that run them, across all entry VMs.
 type Suspects interface {
-	// Broke tells that a replica broke off while it ran a request.
+	// Broke records that a replica's connection broke while it ran a request: a suspected crash.
 	Broke(r hgsuspect.Request)
-	// Unanswered tells of a run without an answer until its time was over, at a replica that may have ended.
+	// Unanswered records that a request had no complete response when its deadline passed or its caller disconnected. It
+	// counts as a crash if the replica turns out to have ended.
 	Unanswered(r hgsuspect.Request, replica string)
-	// Ended tells that a replica ran a request to its end.
+	// Ended records that a replica ran a request to completion.
 	Ended(r hgsuspect.Request)
-	// Refused says whether a request is not to be run, and for how much longer.
+	// Refused reports whether a request must not run, and for how much longer.
 	Refused(r hgsuspect.Request) (left time.Duration, refused bool)
 }
 
-// Figures count and time what the entry does.
-type Figures interface {
+// Metrics records counters and durations.
+type Metrics interface {
 	Count(name string)
 	Observe(name string, d time.Duration)
 }
 
-// Entry is the handler of the callers' port.
+// Entry is the HTTP handler of the port that callers connect to; it is safe for concurrent use.
 type Entry struct {
 	dialect  Dialect
 	programs Programs
-	places   Places
+	placer   Placer
 	replicas *hgreplica.Set
 	timer    hgtimer.Timer
 	log      *slog.Logger
-	figures  Figures
+	metrics  Metrics
 	suspects Suspects
-	// memory is what answers that are held until they are whole may take together.
+	// memory bounds the bytes of all responses that are buffered until they are complete.
 	memory   *hgmemory.Pool
 	desired  atomic.Pointer[hgdesired.State]
 	stopping atomic.Bool
-	running  atomic.Int64
+	// running is the number of requests in progress.
+	running atomic.Int64
 }
 
-// NewEntry returns a handler that refuses everything until it has a desired state.
-func NewEntry(d Dialect, p Programs, places Places, r *hgreplica.Set, timer hgtimer.Timer, log *slog.Logger, f Figures, s Suspects, m *hgmemory.Pool) *Entry {
-	return &Entry{dialect: d, programs: p, places: places, replicas: r, timer: timer, log: log, figures: f, suspects: s, memory: m}
+// NewEntry returns a handler that rejects all requests until SetDesired has been called.
+func NewEntry(d Dialect, p Programs, placer Placer, r *hgreplica.Set, timer hgtimer.Timer, log *slog.Logger, f Metrics, s Suspects, m *hgmemory.Pool) *Entry {
+	return &Entry{dialect: d, programs: p, placer: placer, replicas: r, timer: timer, log: log, metrics: f, suspects: s, memory: m}
 }
 
-// SetDesired puts a desired state in force unless a newer one is.
+// SetDesired applies a desired state unless the current one is as new, and reports whether it did.
 func (e *Entry) SetDesired(s *hgdesired.State) (changed bool) {
 	for {
 		have := e.desired.Load()
@@ -101,23 +103,23 @@
 	}
 }
 
-// Desired returns the desired state in force, or nil.
+// Desired returns the current desired state, or nil if there is none yet.
 func (e *Entry) Desired() *hgdesired.State { return e.desired.Load() }
 
-// Stop makes callers leave: each answer from now on closes its connection.
+// Stop begins draining: each response from now on carries "Connection: close", so that callers reconnect elsewhere.
 func (e *Entry) Stop() { e.stopping.Store(true) }
 
-// Running returns the number of requests in progress.
+// Running returns the number of requests in progress, for metrics, the status page and the log.
 func (e *Entry) Running() int { return int(e.running.Load()) }
 
 const (
-	// defaultMaxBody bounds a body while no desired state says so.
+	// defaultMaxBody is the largest request body in bytes if the desired state sets no limit.
 	defaultMaxBody = 4 << 20
-	// defaultTimeout bounds requests of routes without a bound.
+	// defaultTimeout is the timeout of requests of routes that set none.
 	defaultTimeout = 30 * time.Second
 )
 
-// ServeHTTP serves one request.
+// ServeHTTP forwards one request of a caller and writes the response.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.running.Add(1)
 	defer e.running.Add(-1)
@@ -128,7 +130,7 @@
 	x.serve()
 }
 
-// exchange is one request of a caller and its answer.
+// exchange is one request of a caller and the response to it.
 type exchange struct {
 	entry   *Entry
 	w       http.ResponseWriter
@@ -138,27 +140,29 @@
 	route   hgdesired.Route
 	attempt hgattempt.Attempt
 	body    []byte
-	// suspect is the request as the list of those that break off replicas knows it.
-	suspect hgsuspect.Request
+	// digests identify the request in Suspects.
+	digests hgsuspect.Request
 	ctx     context.Context
-	// limit is when the caller or the route gives up.
-	limit time.Duration
-	turn  *turn
+	// deadline is when the timeout of the caller or of the route expires, whichever is first, on the entry's timer.
+	deadline time.Duration
+	turn     *turn
 
-	// sent counts the replicas that may have run the request, and tries all that were asked.
+	// sent counts the replicas that may have run the request; tries counts all that were asked, including those that
+	// refused it.
 	sent, tries int
 	replica     string
-	// status is that of the answer that was passed on.
+	// status is the status code of the response that was passed on.
 	status int
-	// why is what decided for the replica.
-	why hgreplica.Why
-	// openTook, headTook and keepTook are what the opening of the turn, the head of the last answer and the writing of
-	// the turn took.
-	openTook, headTook, keepTook time.Duration
-	// placeTook is the time in which places were waited for.
-	placeTook time.Duration
+	// decision holds the figures by which the last replica was picked.
+	decision hgreplica.Why
+	// openTime is how long it took to open the turn, headTime how long the headers of the last replica's response took,
+	// and retainTime how long it took to store the turn.
+	openTime, headTime, retainTime time.Duration
+	// leaseTime is the total time spent waiting for leases.
+	leaseTime time.Duration
 }
 
+// serve decodes the request, finds its route, refuses it if it is suspected of crashing replicas, and else forwards it.
 func (x *exchange) serve() {
 	var err error
 	if x.attempt, err = x.entry.dialect.DecodeAttempt(x.r.Header); err != nil {
@@ -185,19 +189,19 @@
 	if x.attempt.Deadline > 0 {
 		allowed = min(allowed, x.attempt.Deadline)
 	}
-	x.limit = x.start + allowed
-	ctx, cancel := context.WithTimeout(x.r.Context(), x.limit-x.entry.timer.Now())
+	x.deadline = x.start + allowed
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.deadline-x.entry.timer.Now())
 	defer cancel()
 	x.ctx = ctx
-	x.suspect = hgsuspect.NewRequest(x.service(), x.caller(), x.r.Method, x.r.RequestURI, x.attempt.Object, x.body)
-	if _, refused := x.entry.suspects.Refused(x.suspect); refused {
-		x.giveUp(errSuspect)
+	x.digests = hgsuspect.NewRequest(x.service(), x.caller(), x.r.Method, x.r.RequestURI, x.attempt.Object, x.body)
+	if _, refused := x.entry.suspects.Refused(x.digests); refused {
+		x.respondError(errSuspect)
 		return
 	}
 	x.forward()
 }
 
-// caller names who sends the request: the program that it belongs to, or else the address.
+// caller identifies who sends the request: the program that it belongs to, or the IP address if it names no program.
 func (x *exchange) caller() string {
 	if x.attempt.Program != "" {
 		return "program " + x.attempt.Program
@@ -205,6 +209,7 @@
 	return hostOnly(x.r.RemoteAddr)
 }
 
+// hostOnly strips the port, if there is one.
 func hostOnly(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
@@ -212,16 +217,17 @@
 	return host
 }
 
+// readBody reads the request's body and reports whether that succeeded. If not, it has responded to the caller.
 func (x *exchange) readBody() bool {
-	most := int64(defaultMaxBody)
+	maxBytes := int64(defaultMaxBody)
 	if x.state != nil && x.state.Limits.MaxBodyBytes > 0 {
-		most = x.state.Limits.MaxBodyBytes
+		maxBytes = x.state.Limits.MaxBodyBytes
 	}
-	if x.r.ContentLength > most {
+	if x.r.ContentLength > maxBytes {
 		x.refuse(http.StatusRequestEntityTooLarge, "body is too large")
 		return false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -233,7 +239,7 @@
 	return err == nil
 }
 
-// forward serves a request whose route is known.
+// forward serves a request after its route was found, according to the kind of the route.
 func (x *exchange) forward() {
 	if x.route.Kind != hgdesired.Stream {
 		x.forwardPlain()
@@ -247,30 +253,34 @@
 	x.forwardStream()
 }
 
-// left returns the time until the caller or the route gives up.
-func (x *exchange) left() time.Duration { return x.limit - x.entry.timer.Now() }
+// remaining returns the time until the deadline.
+func (x *exchange) remaining() time.Duration { return x.deadline - x.entry.timer.Now() }
 
-// Times to come back, in seconds: after a refusal for load, for a new program while others are under way, for a service
-// without a replica, when another node steps in, and for a store that no node reaches. The last one is long, so that the
-// few tries that a caller has are spread over an outage of seconds.
+// Values of Retry-After, in seconds.
 const (
-	comeBackBusy   = 0.15
-	comeBackFull   = 0.7
-	comeBackNone   = 0.7
-	comeBackStepIn = 0.3
-	comeBackOutage = 1.2
+	// retryAfterBusy is sent when no replica had room in time, and with all refusals that have no value of their own below.
+	retryAfterBusy = 0.15
+	// retryAfterFull is sent to new programs while replicas are busy with programs in progress.
+	retryAfterFull = 0.7
+	// retryAfterNoReplica is sent when the service has no replica.
+	retryAfterNoReplica = 0.7
+	// retryAfterFailover is sent while another node takes over the program.
+	retryAfterFailover = 0.3
+	// retryAfterOutage is sent when no node reaches the store. It is long because callers make few attempts: these have to
+	// span an outage of several seconds.
+	retryAfterOutage = 1.2
 )
 
-// refuse answers a request that was not run.
+// refuse responds with an error to a request that was not run.
 func (x *exchange) refuse(status int, reason string) {
-	x.answer(status, reason, comeBackBusy)
+	x.respond(status, reason, retryAfterBusy)
 }
 
-// answer gives an answer of the node's own.
-func (x *exchange) answer(status int, reason string, comeBack float64) {
+// respond writes an error of this node's own. retryAfter, in seconds, is sent with status 503 only.
+func (x *exchange) respond(status int, reason string, retryAfter float64) {
 	h := x.w.Header()
 	if status == http.StatusServiceUnavailable {
-		h.Set("Retry-After", strconv.FormatFloat(comeBack, 'f', 2, 64))
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter, 'f', 2, 64))
 	}
 	h.Set("Content-Type", "application/json")
 	body := `{"error":` + strconv.Quote(reason) + "}"
@@ -279,24 +289,24 @@
 	if _, err := io.WriteString(x.w, body); err != nil {
 		reason += ": " + err.Error()
 	}
-	x.report(status, reason)
+	x.logResult(status, reason)
 }
 
-// report logs the end of a request: where it went, why, and how it ended.
-func (x *exchange) report(status int, reason string) {
+// logResult logs how a request ended, which replica ran it and the figures by which that replica was picked.
+func (x *exchange) logResult(status int, reason string) {
 	now := x.entry.timer.Now()
 	args := []any{
-		"attempt", x.attempt.ID, "program", x.attempt.Program, "digest", x.suspect.Caller, "route", x.route.Name, "status", status, "reason", reason,
+		"attempt", x.attempt.ID, "program", x.attempt.Program, "digest", x.digests.Caller, "route", x.route.Name, "status", status, "reason", reason,
 		"ms", (now - x.start).Milliseconds(), "version", x.version(), "sent", x.sent, "tries", x.tries,
 	}
 	if x.tries > 0 {
-		w := x.why
+		w := x.decision
 		args = append(args, "replica", x.replica, "of", w.Of, "miss", w.Miss, "fetch", w.Fetch, "own", w.Own, "all", w.All,
 			"loadAgeMs", w.ReportAge.Milliseconds(), "costMs", w.Cost.Milliseconds())
 	}
 	if x.attempt.Program != "" {
 		args = append(args, "session", x.attempt.Session, "aimLeftMs", x.attempt.ProgramLeft.Milliseconds(), "prompt", x.attempt.TokensIn,
-			"openMs", x.openTook.Milliseconds(), "placeMs", x.placeTook.Milliseconds(), "headMs", x.headTook.Milliseconds(), "keepMs", x.keepTook.Milliseconds())
+			"openMs", x.openTime.Milliseconds(), "placeMs", x.leaseTime.Milliseconds(), "headMs", x.headTime.Milliseconds(), "keepMs", x.retainTime.Milliseconds())
 	}
 	if x.turn != nil {
 		args = append(args, "owner", x.turn.owner.Name)
@@ -304,6 +314,7 @@
 	x.entry.log.Info("request", args...)
 }
 
+// version returns the version of the desired state that the request was served under; 0 if there was none.
 func (x *exchange) version() uint64 {
 	if x.state == nil {
 		return 0
@@ -311,8 +322,8 @@
 	return x.state.Version
 }
 
-// abort breaks the caller's connection, so that an answer that is not whole does not look so.
+// abort closes the caller's connection, so that the caller does not take a truncated response for a complete one.
 func (x *exchange) abort(reason string) {
-	x.report(0, reason)
+	x.logResult(0, reason)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/serve/hgentry/place.go
+++ b/internal/serve/hgentry/place.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// placeWait is the longest time for which a request of an engine waits for a place. Callers leave a stream that has
-	// not begun for two seconds, or later.
-	placeWait = 1800 * time.Millisecond
-	// placeShare is the share of what is left of a request's time that it waits for a place.
-	placeShare = 0.8
+	// maxLeaseWait is the longest time that a request for an engine waits for a lease. Callers wait at least two seconds
+	// for a stream to begin before they disconnect, so the wait ends before that.
+	maxLeaseWait = 1800 * time.Millisecond
+	// leaseWaitShare is the largest share of a request's remaining time that it waits for a lease.
+	leaseWaitShare = 0.8
 )
 
-// take finds a place for a request: at once for plain services, whose requests are short, and by the placer for engines.
-func (x *exchange) take(w hgreplica.Want) (l *hgreplica.Lease, err error) {
+// acquireLease leases a replica. Requests of plain services are short and get one without queueing; those for engines wait
+// in the placer's queue.
+func (x *exchange) acquireLease(w hgreplica.Want) (l *hgreplica.Lease, err error) {
 	if x.state.Services[w.Service].Engine == nil {
 		l, ok := x.entry.replicas.Pick(w)
 		if !ok {
@@ -25,31 +26,31 @@
 		return l, nil
 	}
 	a := hgplacer.Ask{
-		ID: x.attempt.ID, Want: w, Rank: x.rank(), Left: x.left(),
-		Wait: min(placeWait, time.Duration(placeShare*float64(x.left()))),
+		ID: x.attempt.ID, Want: w, Rank: x.rank(), Left: x.remaining(),
+		Wait: min(maxLeaseWait, time.Duration(leaseWaitShare*float64(x.remaining()))),
 	}
 	began := x.entry.timer.Now()
-	l, v := x.entry.places.Take(x.ctx, a)
+	l, v := x.entry.placer.Take(x.ctx, a)
 	waited := x.entry.timer.Now() - began
-	x.placeTook += waited
-	x.entry.figures.Observe("place", waited)
+	x.leaseTime += waited
+	x.entry.metrics.Observe("place", waited)
 	switch v {
 	case hgplacer.Granted:
 		return l, nil
 	case hgplacer.Full:
-		return nil, errFull
+		return nil, errBusy
 	case hgplacer.NoReplica:
 		return nil, errNoReplica
 	}
-	return nil, errNoPlace
+	return nil, errNoLease
 }
 
-// rank orders the request among those that wait.
+// rank returns the request's rank in the placer's queue.
 func (x *exchange) rank() hgplacer.Rank {
 	return hgplacer.Rank{New: x.turn != nil && x.turn.open.New && x.tries == 0, Late: x.isLate(), Priority: x.route.Priority}
 }
 
-// isLate says whether the request's program has passed its aim.
+// isLate reports whether the target time of the request's program has passed.
 func (x *exchange) isLate() bool {
 	return x.attempt.HasProgramLeft && x.entry.timer.Now()-x.start >= x.attempt.ProgramLeft
 }
--- a/internal/serve/hgentry/plain.go
+++ b/internal/serve/hgentry/plain.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// maxPlainBytes bounds the answer of a plain service, which is held until it is whole.
+	// maxPlainBytes is the largest response of a plain service; it is buffered until it is complete.
 	maxPlainBytes = 8 << 20
-	// plainFar is what another failure domain costs a request of a plain service: two ways of half a millisecond.
-	plainFar = time.Millisecond
+	// plainRemoteCost is the cost of picking a replica in another failure domain for a request of a plain service: a round
+	// trip of twice half a millisecond.
+	plainRemoteCost = time.Millisecond
 )
 
-// forwardPlain serves a request whose answer is one piece.
+// forwardPlain forwards a request whose response is not a stream, with retries at other replicas.
 func (x *exchange) forwardPlain() {
-	want := hgreplica.Want{Service: x.service(), Exclude: map[string]bool{}, Far: plainFar}
+	want := hgreplica.Want{Service: x.service(), Exclude: map[string]bool{}, Far: plainRemoteCost}
 	for {
 		err := x.tryPlain(want)
 		if err == nil {
 			return
 		}
-		if !x.again(err) {
-			x.giveUp(err)
+		if !x.canRetry(err) {
+			x.respondError(err)
 			return
 		}
 	}
 }
 
+// tryPlain sends the request to one replica and relays the response once it is complete.
 func (x *exchange) tryPlain(want hgreplica.Want) error {
 	t, err := x.send(want, x.body, "")
 	if err != nil {
@@ -40,37 +42,38 @@
 	defer t.end()
 	answer, err := x.entry.memory.Read(t.resp.Body, maxPlainBytes)
 	if errors.Is(err, hgmemory.ErrFull) {
-		// That is neither the replica's fault nor the request's.
-		return errors.Join(errBroken, err)
+		// Other responses hold the memory: neither the replica nor the request is at fault.
+		return errors.Join(errAnswerLost, err)
 	}
 	if err != nil {
 		t.lease.Failed()
-		x.broke(t)
-		return errors.Join(errBroken, err)
+		x.recordCrash(t)
+		return errors.Join(errAnswerLost, err)
 	}
 	defer answer.Release()
 	body := answer.Bytes
-	if t.resp.StatusCode >= http.StatusInternalServerError && x.again(errBroken) {
-		return errBroken
+	if t.resp.StatusCode >= http.StatusInternalServerError && x.canRetry(errAnswerLost) {
+		return errAnswerLost
 	}
 	if !t.answer.Failed {
-		x.entry.suspects.Ended(x.suspect)
+		x.entry.suspects.Ended(x.digests)
 	}
 	x.copyHead(t.resp)
 	if x.r.Method != http.MethodHead {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	x.w.WriteHeader(t.resp.StatusCode)
-	x.entry.figures.Observe(string(x.route.Kind), x.entry.timer.Now()-x.start)
+	x.entry.metrics.Observe(string(x.route.Kind), x.entry.timer.Now()-x.start)
 	reason := ""
 	if _, err := x.w.Write(body); err != nil {
 		reason = "caller did not take the answer"
 	}
-	x.report(t.resp.StatusCode, reason)
+	x.logResult(t.resp.StatusCode, reason)
 	return nil
 }
 
-// service picks the service of the route for this attempt.
+// service returns the service that runs this attempt: a hash of the attempt's identifier selects one by the weights of the
+// route.
 func (x *exchange) service() string {
 	return x.route.Pick(fraction(x.attempt.ID))
 }
--- a/internal/serve/hgentry/send.go
+++ b/internal/serve/hgentry/send.go
@@ -16,16 +16,16 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// maxTries bounds the replicas that are asked for one request, those that refuse it included.
+// maxTries bounds the replicas that one request is sent to, including those that refuse it.
 const maxTries = 4
 
-// hopHeaders concern a single connection.
+// hopHeaders are the hop-by-hop headers of HTTP, which a proxy must not forward.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// endToEnd returns a copy of the headers without those that concern a single connection.
+// endToEnd returns a copy of the headers without the hop-by-hop ones, including those that the Connection header names.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -39,22 +39,23 @@
 	return out
 }
 
-// Errors of a try.
+// Errors of a try. Their texts are sent to callers.
 var (
-	// errNotSent means that no byte was written.
+	// errNotSent means that no byte of the request was written.
 	errNotSent = errors.New("request was not sent")
-	// errNotRun means that the replica refused the request.
+	// errNotRun means that the replica refused the request and did not run it.
 	errNotRun = errors.New("replica refused the request")
-	// errBroken means that the replica may have run the request.
-	errBroken = errors.New("answer was lost")
-	// errNoReplica means that no replica is left.
+	// errAnswerLost means that there is no usable response although the replica may have run the request.
+	errAnswerLost = errors.New("answer was lost")
+	// errNoReplica means that the service has no usable replica that was not tried yet.
 	errNoReplica = errors.New("no replica is left")
-	// errFull means that a new program has to wait for those under way.
-	errFull = errors.New("replicas are busy with programs under way")
-	// errSuspect means that replicas broke off under requests with this content.
+	// errBusy means that replicas are too busy for a new program.
+	errBusy = errors.New("replicas are busy with programs under way")
+	// errSuspect means that the request is refused because replicas seem to have crashed while they ran it or requests with
+	// the same content.
 	errSuspect = errors.New("replicas broke off under this request")
-	// errNoPlace means that no replica had room in time.
-	errNoPlace = errors.New("no replica had room in time")
+	// errNoLease means that no replica had room before the wait for a lease was over.
+	errNoLease = errors.New("no replica had room in time")
 )
 
 // try is one send of a request to a replica.
@@ -65,7 +66,7 @@
 	began  time.Duration
 }
 
-// end closes the connection, unless the answer was read to its end, and frees the place.
+// end closes the response, which closes the connection unless the body was read to its end, and releases the lease.
 func (t *try) end() {
 	if t.resp != nil {
 		t.resp.Body.Close()
@@ -73,24 +74,25 @@
 	t.lease.Release()
 }
 
-// onceBody is a body that can be had only once, so that the transport has no occasion to send a request again.
+// onceBody is a request body that can be read only once, so that the transport cannot resend the request on its own.
 type onceBody struct{ io.Reader }
 
 func (onceBody) Close() error { return nil }
 
-// send sends the request to a replica and returns with the head of its answer. On an error the try has ended.
+// send leases a replica, sends the request to it and returns once the response headers have come. On an error the lease
+// is released already.
 func (x *exchange) send(w hgreplica.Want, body []byte, lastEvent string) (t *try, err error) {
-	lease, err := x.take(w)
+	lease, err := x.acquireLease(w)
 	if err != nil {
 		return nil, err
 	}
-	// Replicas may have broken off under copies while this one waited.
-	if _, refused := x.entry.suspects.Refused(x.suspect); refused {
+	// Replicas may have crashed under copies of this request while it waited for the lease.
+	if _, refused := x.entry.suspects.Refused(x.digests); refused {
 		lease.Release()
 		return nil, errSuspect
 	}
 	x.tries++
-	x.replica, x.why = lease.ID, lease.Why
+	x.replica, x.decision = lease.ID, lease.Why
 	w.Exclude[lease.ID] = true
 	t = &try{lease: lease, began: x.entry.timer.Now()}
 	if err = x.roundTrip(t, body, lastEvent); err != nil {
@@ -100,6 +102,7 @@
 	return t, nil
 }
 
+// roundTrip sends the request to the leased replica and sets t.resp and t.answer.
 func (x *exchange) roundTrip(t *try, body []byte, lastEvent string) (err error) {
 	var wrote atomic.Bool
 	ctx := httptrace.WithClientTrace(x.ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }})
@@ -107,7 +110,7 @@
 		Method: x.r.Method, URL: x.target(t.lease.Address), Host: x.r.Host, Header: endToEnd(x.r.Header),
 		Body: onceBody{bytes.NewReader(body)}, ContentLength: int64(len(body)),
 	}).WithContext(ctx)
-	x.entry.dialect.Prepare(r.Header, hgattempt.Send{Replica: t.lease.ID, Left: x.left(), LastEvent: lastEvent, FetchFrom: t.lease.FetchFrom})
+	x.entry.dialect.Prepare(r.Header, hgattempt.Send{Replica: t.lease.ID, Left: x.remaining(), LastEvent: lastEvent, FetchFrom: t.lease.FetchFrom})
 	if _, ok := r.Header["User-Agent"]; !ok {
 		r.Header["User-Agent"] = []string{""}
 	}
@@ -118,54 +121,57 @@
 		}
 		if wrote.Load() {
 			x.sent++
-			x.broke(t)
-			return errors.Join(errBroken, err)
+			x.recordCrash(t)
+			return errors.Join(errAnswerLost, err)
 		}
 		return errors.Join(errNotSent, err)
 	}
 	t.answer = x.entry.dialect.DecodeAnswer(t.resp.StatusCode, t.resp.Header)
-	x.headTook = x.entry.timer.Now() - t.began
-	x.entry.figures.Observe(string(x.route.Kind)+"Head", x.headTook)
-	t.lease.Answered(t.answer, x.headTook)
+	x.headTime = x.entry.timer.Now() - t.began
+	x.entry.metrics.Observe(string(x.route.Kind)+"Head", x.headTime)
+	t.lease.Answered(t.answer, x.headTime)
 	if t.answer.Leaving && t.lease.Leaves() {
-		x.entry.log.Info("replica says that it leaves", "replica", t.lease.ID, "attempt", x.attempt.ID, "status", t.resp.StatusCode)
+		x.entry.log.Info("replica announced shutdown, sending it no new requests", "replica", t.lease.ID, "attempt", x.attempt.ID, "status", t.resp.StatusCode)
 	}
-	return x.check(t)
+	return x.checkAnswer(t)
 }
 
-// broke tells that the replica broke off. Once the time is up or the caller has left, only the replica's end shows that.
-func (x *exchange) broke(t *try) {
+// recordCrash records a suspected crash of the replica. After the deadline or the caller's disconnect the connection breaks
+// in any case, so that only the end of the replica itself shows a crash.
+func (x *exchange) recordCrash(t *try) {
 	if x.ctx.Err() == nil || t.lease.HasEnded() {
-		x.entry.suspects.Broke(x.suspect)
+		x.entry.suspects.Broke(x.digests)
 		return
 	}
-	x.entry.suspects.Unanswered(x.suspect, t.lease.ID)
+	x.entry.suspects.Unanswered(x.digests, t.lease.ID)
 }
 
-// check sorts out answers of other requests and refusals.
-func (x *exchange) check(t *try) error {
-	// A refusal may bear no identifier; one that bears another belongs to another request, and says nothing of this one.
-	strange := t.answer.AttemptID != x.attempt.ID && (t.answer.AttemptID != "" || !t.answer.NotRun)
+// checkAnswer returns an error for refusals, for responses to other requests and for 2xx responses without a seal. Encoded
+// responses are rejected too.
+func (x *exchange) checkAnswer(t *try) error {
+	// A refusal may come without an attempt's identifier. One with the identifier of another attempt is a response to another
+	// request and says nothing about this one.
+	mismatched := t.answer.AttemptID != x.attempt.ID && (t.answer.AttemptID != "" || !t.answer.NotRun)
 	switch {
-	case t.answer.NotRun && !strange:
+	case t.answer.NotRun && !mismatched:
 		if t.resp.StatusCode == http.StatusMisdirectedRequest {
 			t.lease.Misdirected()
 		}
-		// The rest of the refusal is read so that its connection can be used again.
+		// Drain the body, so that the connection can be reused.
 		if _, err := io.Copy(io.Discard, io.LimitReader(t.resp.Body, 4096)); err != nil {
 			t.lease.Failed()
 		}
 		return errNotRun
-	case strange, t.resp.StatusCode/100 == 2 && !t.answer.Sealed, t.resp.Header.Get("Content-Encoding") != "":
+	case mismatched, t.resp.StatusCode/100 == 2 && !t.answer.Sealed, t.resp.Header.Get("Content-Encoding") != "":
 		x.sent++
 		t.lease.Failed()
-		return errBroken
+		return errAnswerLost
 	}
 	x.sent++
 	return nil
 }
 
-// target returns the URL at an address with path and query as the caller sent them.
+// target returns the URL of the request at a replica's address, with path and query exactly as the caller sent them.
 func (x *exchange) target(address string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address, Path: x.r.URL.Path, RawPath: x.r.URL.RawPath, RawQuery: x.r.URL.RawQuery, ForceQuery: x.r.URL.ForceQuery}
 	if path, _, _ := strings.Cut(x.r.RequestURI, "?"); strings.HasPrefix(path, "/") && !strings.HasPrefix(path, "//") {
@@ -174,41 +180,41 @@
 	return u
 }
 
-// again says whether the request may go to another replica after an error.
-func (x *exchange) again(err error) bool {
+// canRetry reports whether the request may be sent to another replica after an error.
+func (x *exchange) canRetry(err error) bool {
 	switch {
-	case x.ctx.Err() != nil, x.tries >= maxTries, errors.Is(err, errNoReplica), errors.Is(err, errFull), errors.Is(err, errNoPlace), errors.Is(err, errSuspect), errors.Is(err, errCaller), errors.Is(err, errLimit):
+	case x.ctx.Err() != nil, x.tries >= maxTries, errors.Is(err, errNoReplica), errors.Is(err, errBusy), errors.Is(err, errNoLease), errors.Is(err, errSuspect), errors.Is(err, errCallerLeft), errors.Is(err, errTokenLimit):
 		return false
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errAnswerLost):
 		return x.route.Repeatable() && x.sent < x.route.MaxAttempts
 	}
 	return true
 }
 
-// giveUp answers a request after its last try, nothing of an answer having reached the caller.
-func (x *exchange) giveUp(err error) {
+// respondError responds to a request that will not be retried, before any part of a response was written.
+func (x *exchange) respondError(err error) {
 	switch {
 	case x.r.Context().Err() != nil:
 		x.abort("caller left")
 	case errors.Is(err, errSuspect) && x.sent == 0:
-		left, _ := x.entry.suspects.Refused(x.suspect)
-		x.answer(http.StatusServiceUnavailable, err.Error(), left.Seconds())
-	case errors.Is(err, errFull):
-		x.answer(http.StatusServiceUnavailable, err.Error(), comeBackFull*(0.5+rand.Float64()))
+		left, _ := x.entry.suspects.Refused(x.digests)
+		x.respond(http.StatusServiceUnavailable, err.Error(), left.Seconds())
+	case errors.Is(err, errBusy):
+		x.respond(http.StatusServiceUnavailable, err.Error(), retryAfterFull*(0.5+rand.Float64()))
 	case x.sent == 0 && x.ctx.Err() == nil && !x.entry.replicas.HasAny(hgreplica.Want{Service: x.service()}):
-		x.answer(http.StatusServiceUnavailable, "the service has no replica", comeBackNone*(0.5+rand.Float64()))
+		x.respond(http.StatusServiceUnavailable, "the service has no replica", retryAfterNoReplica*(0.5+rand.Float64()))
 	case x.sent == 0 && x.ctx.Err() == nil:
-		x.answer(http.StatusServiceUnavailable, err.Error(), comeBackBusy*(0.5+rand.Float64()))
-	case x.sent == 0 && !errors.Is(err, errBroken):
-		x.answer(http.StatusServiceUnavailable, "no replica in time", comeBackBusy)
+		x.respond(http.StatusServiceUnavailable, err.Error(), retryAfterBusy*(0.5+rand.Float64()))
+	case x.sent == 0 && !errors.Is(err, errAnswerLost):
+		x.respond(http.StatusServiceUnavailable, "no replica in time", retryAfterBusy)
 	case x.ctx.Err() != nil:
-		x.answer(http.StatusGatewayTimeout, "no answer in time", 0)
+		x.respond(http.StatusGatewayTimeout, "no answer in time", 0)
 	default:
-		x.answer(http.StatusBadGateway, err.Error(), 0)
+		x.respond(http.StatusBadGateway, err.Error(), 0)
 	}
 }
 
-// copyHead passes the head of an answer to the caller.
+// copyHead sets the caller's response headers from a replica's response.
 func (x *exchange) copyHead(resp *http.Response) {
 	h := x.w.Header()
 	for name, values := range endToEnd(resp.Header) {
--- a/internal/serve/hgentry/stream.go
+++ b/internal/serve/hgentry/stream.go
@@ -14,37 +14,42 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes is the largest event of a stream.
 	maxEventBytes = 256 << 10
-	// fetchSetup is what each fetch of kept parts takes besides its tokens, by the users' sheets 0.6 ms.
+	// fetchSetup is the fixed cost of fetching cached prompt parts from another replica, on top of the time per token. The
+	// platform's documents give 0.6 ms.
 	fetchSetup = time.Millisecond
-	// moveCharge is what a token of moved memory counts besides: it is charged 0.4 a GB, 6.6e-5 a token of 164 kB, while
-	// programs on busy engines earn 1.2 to 1.6 in each second of a request.
-	moveCharge = 50 * time.Microsecond
-	// streamFar is what another failure domain costs a turn: a program's later turns follow the first one, and all of
-	// their history and events cross the domains, which is paid by the byte.
-	streamFar = 25 * time.Millisecond
+	// fetchCharge is the cost of each fetched token on top of its transfer time. Transferred memory is charged 0.4 per GB,
+	// which is 6.6e-5 per token of 164 kB, while programs on busy engines earn 1.2 to 1.6 per second of a request.
+	fetchCharge = 50 * time.Microsecond
+	// streamRemoteCost is the cost of picking a replica in another failure domain for a turn. It is high because a program's
+	// later turns go where the first one went, and traffic between domains is charged by the byte for all of their history
+	// and events.
+	streamRemoteCost = 25 * time.Millisecond
 )
 
-// fraction maps an identifier to a number in [0, 1).
+// fraction hashes an identifier to a number in [0, 1).
 func fraction(id string) float64 { return float64(xxhash.Sum64String(id)>>11) / (1 << 53) }
 
-// stream is the part of a streamed answer that the caller has.
+// stream is the state of a streamed response as far as it was sent to the caller.
 type stream struct {
-	begun bool
-	// lastEvent is the identifier of the last event, and events their number.
+	// headWritten says that status and headers were sent, after which no error response is possible.
+	headWritten bool
+	// lastEvent is the identifier of the last event that was sent; another replica resumes after it.
 	lastEvent string
-	events    int
-	// output is the data of the events, each with a line feed, if the turn is kept.
+	// events is the number of events that were sent.
+	events int
+	// output is the data of the events, each with a line feed; it is collected only for turns that are retained.
 	output []byte
 }
 
-// forwardStream serves a request that is answered by events.
+// forwardStream forwards a request whose response is a stream of events, and resumes it at other replicas if the route
+// allows that.
 func (x *exchange) forwardStream() {
 	s := &stream{lastEvent: x.attempt.LastEvent}
-	want := hgreplica.Want{Service: x.service(), Exclude: map[string]bool{}, Prompt: x.attempt.TokensIn, Far: streamFar}
+	want := hgreplica.Want{Service: x.service(), Exclude: map[string]bool{}, Prompt: x.attempt.TokensIn, Far: streamRemoteCost}
 	if engine := x.state.Services[want.Service].Engine; engine != nil {
-		want.Fetch = hgreplica.Fetch{Setup: fetchSetup, PerToken: engine.FetchPerToken, Charge: moveCharge}
+		want.Fetch = hgreplica.Fetch{Setup: fetchSetup, PerToken: engine.FetchPerToken, Charge: fetchCharge}
 	}
 	body := x.body
 	if x.turn != nil {
@@ -57,11 +62,11 @@
 		err := x.tryStream(s, want, body)
 		if err == nil {
 			x.closeTurn(s, true)
-			x.entry.figures.Observe("stream", x.entry.timer.Now()-x.start)
-			x.report(x.status, "")
+			x.entry.metrics.Observe("stream", x.entry.timer.Now()-x.start)
+			x.logResult(x.status, "")
 			return
 		}
-		if !x.again(err) {
+		if !x.canRetry(err) {
 			x.closeTurn(s, false)
 			x.endStream(s, err)
 			return
@@ -69,14 +74,15 @@
 	}
 }
 
-// endStream ends a stream that is not whole.
+// endStream ends a response after the last try failed.
 func (x *exchange) endStream(s *stream, err error) {
-	if s.begun {
+	if s.headWritten {
 		x.abort("stream broke off: " + err.Error())
 	}
-	x.giveUp(err)
+	x.respondError(err)
 }
 
+// tryStream sends the request to one replica and relays its events.
 func (x *exchange) tryStream(s *stream, want hgreplica.Want, body []byte) error {
 	t, err := x.send(want, body, s.lastEvent)
 	if err != nil {
@@ -84,104 +90,107 @@
 	}
 	defer t.end()
 	if t.resp.StatusCode != http.StatusOK {
-		return x.passFailure(t, s)
+		return x.forwardNonStream(t, s)
 	}
 	if err := x.copyEvents(s, t); err != nil {
-		if errors.Is(err, errCaller) || errors.Is(err, errLimit) {
+		if errors.Is(err, errCallerLeft) || errors.Is(err, errTokenLimit) {
 			return err
 		}
 		if x.r.Context().Err() == nil {
 			t.lease.Failed()
 		}
-		x.broke(t)
+		x.recordCrash(t)
 		return err
 	}
-	x.entry.suspects.Ended(x.suspect)
+	x.entry.suspects.Ended(x.digests)
 	return nil
 }
 
-// passFailure passes on an answer of a replica that is no stream.
-func (x *exchange) passFailure(t *try, s *stream) error {
+// forwardNonStream relays a response with a status other than 200, unless the request can be retried.
+func (x *exchange) forwardNonStream(t *try, s *stream) error {
 	answer, err := x.entry.memory.Read(t.resp.Body, maxEventBytes)
 	if err != nil {
 		if !errors.Is(err, hgmemory.ErrFull) {
-			x.broke(t)
+			x.recordCrash(t)
 		}
-		return errors.Join(errBroken, err)
+		return errors.Join(errAnswerLost, err)
 	}
 	defer answer.Release()
-	if s.begun || x.again(errBroken) {
-		return errBroken
+	if s.headWritten || x.canRetry(errAnswerLost) {
+		return errAnswerLost
 	}
 	x.closeTurn(s, false)
 	x.copyHead(t.resp)
 	x.status = t.resp.StatusCode
 	x.w.WriteHeader(x.status)
 	if _, err := x.w.Write(answer.Bytes); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerLeft, err)
 	}
 	return nil
 }
 
-// errLimit means that the turn's tokens are used up before its end.
-var errLimit = errors.New("turn is longer than what was reserved for it")
+// errTokenLimit means that the turn's token reservation is used up before the stream ended.
+var errTokenLimit = errors.New("turn is longer than what was reserved for it")
 
-// errCaller means that the caller does not take the answer.
-var errCaller = errors.New("caller left")
+// errCallerLeft means that writing to the caller failed.
+var errCallerLeft = errors.New("caller left")
 
-// copyEvents passes on whole events as they come, so that a stream that broke off can go on after its last one.
+// copyEvents relays events as they arrive. It writes complete events only, so that a broken stream can be resumed after the
+// last one.
 func (x *exchange) copyEvents(s *stream, t *try) error {
 	flush := http.NewResponseController(x.w).Flush
 	events := bufio.NewScanner(t.resp.Body)
 	events.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	events.Split(splitEvent)
 	for events.Scan() {
-		if !x.mayHandOut(s) {
-			return errLimit
+		if !x.withinReservation(s) {
+			return errTokenLimit
 		}
-		x.begin(s, t)
-		x.note(s, events.Bytes())
+		x.writeHead(s, t)
+		x.recordEvent(s, events.Bytes())
 		if _, err := x.w.Write(events.Bytes()); err != nil {
-			return errors.Join(errCaller, err)
+			return errors.Join(errCallerLeft, err)
 		}
 		if err := flush(); err != nil {
-			return errors.Join(errCaller, err)
+			return errors.Join(errCallerLeft, err)
 		}
 	}
 	if err := events.Err(); err != nil {
-		return errors.Join(errBroken, err)
+		return errors.Join(errAnswerLost, err)
 	}
-	x.begin(s, t)
+	x.writeHead(s, t)
 	return nil
 }
 
-// begin passes on the head of the first answer, once there is something of it: until then another one may take its place.
-func (x *exchange) begin(s *stream, t *try) {
-	if s.begun {
+// writeHead writes status and headers, at the first event or the end of the stream. Until then the request can be
+// retried without the caller noticing.
+func (x *exchange) writeHead(s *stream, t *try) {
+	if s.headWritten {
 		return
 	}
-	s.begun = true
+	s.headWritten = true
 	x.copyHead(t.resp)
 	x.w.Header().Del("Content-Length")
 	x.status = http.StatusOK
 	x.w.WriteHeader(x.status)
 }
 
-var errTornEvent = errors.New("stream ends within an event")
+// errTruncatedEvent means that the stream ended without the blank line that ends an event.
+var errTruncatedEvent = errors.New("stream ends within an event")
 
-// splitEvent is a bufio.SplitFunc for events with the blank line that ends them.
+// splitEvent is a bufio.SplitFunc that returns events including the blank line that ends them.
 func splitEvent(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if i := bytes.Index(data, []byte("\n\n")); i >= 0 {
 		return i + 2, data[:i+2], nil
 	}
 	if atEOF && len(data) > 0 {
-		return 0, nil, errTornEvent
+		return 0, nil, errTruncatedEvent
 	}
 	return 0, nil, nil
 }
 
-// note keeps what is needed of an event.
-func (x *exchange) note(s *stream, event []byte) {
+// recordEvent counts an event, and stores its identifier and, for a turn that is retained, its data.
+func (x *exchange) recordEvent(s *stream, event []byte) {
 	s.events++
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -190,7 +199,7 @@
 		case "id":
 			s.lastEvent = string(value)
 		case "data":
-			if x.turn != nil && x.turn.kept {
+			if x.turn != nil && x.turn.retained {
 				s.output = append(append(s.output, value...), '\n')
 			}
 		}
--- a/internal/serve/hgentry/turn.go
+++ b/internal/serve/hgentry/turn.go
@@ -11,52 +11,54 @@
 	"hyssopgrade/internal/state/hgturn"
 )
 
-// settleTime bounds the settlement of a turn whose caller does not wait for it.
-const settleTime = 3 * time.Second
+// settleTimeout is the timeout for closing a turn in the background, when the caller does not wait for it.
+const settleTimeout = 3 * time.Second
 
-// turn is a turn of a program that may run.
+// turn is a turn of a program that was granted.
 type turn struct {
 	open  hgledger.OpenReply
 	owner hgpeer.Info
-	// kept says that the system keeps what is said.
-	kept   bool
+	// retained says that input and output of the turn are stored.
+	retained bool
+	// closed says that the turn is being closed or was closed.
 	closed bool
 }
 
-// openTurn asks whether a turn may run, and answers the caller if not.
+// openTurn asks whether the turn may run and reports that. If not, it has responded to the caller.
 func (x *exchange) openTurn() bool {
 	a := x.attempt
 	q := hgledger.OpenRequest{
 		Program: a.Program, Attempt: a.ID, Prompt: a.Prefix, Budget: a.Budget, HasBudget: a.HasBudget, Most: a.MostOut, Estimate: a.Estimate,
 	}
-	q.NoNew = x.entry.places.IsFull(x.service(), x.route.Priority)
+	q.NoNew = x.entry.placer.IsFull(x.service(), x.route.Priority)
 	if x.route.Retain {
 		q.Previous, q.Kept = a.Previous, true
 	}
 	began := x.entry.timer.Now()
 	reply, owner := x.entry.programs.Open(x.ctx, q)
-	x.openTook = x.entry.timer.Now() - began
-	x.entry.figures.Observe("turnOpen", x.openTook)
+	x.openTime = x.entry.timer.Now() - began
+	x.entry.metrics.Observe("turnOpen", x.openTime)
 	switch reply.Verdict {
 	case hgledger.Granted:
-		x.turn = &turn{open: reply, owner: owner, kept: x.route.Retain}
+		x.turn = &turn{open: reply, owner: owner, retained: x.route.Retain}
 		return true
 	case hgledger.Spent:
-		x.answer(http.StatusPaymentRequired, "budget is spent", 0)
+		x.respond(http.StatusPaymentRequired, "budget is spent", 0)
 	case hgledger.NoTurn:
-		x.answer(http.StatusNotFound, "previous turn does not exist", 0)
+		x.respond(http.StatusNotFound, "previous turn does not exist", 0)
 	case hgledger.Busy:
-		x.answer(http.StatusServiceUnavailable, "replicas are busy with programs under way", comeBackFull*(0.5+rand.Float64()))
+		x.respond(http.StatusServiceUnavailable, "replicas are busy with programs under way", retryAfterFull*(0.5+rand.Float64()))
 	case hgledger.Outage:
-		x.answer(http.StatusServiceUnavailable, "store is out of reach", comeBackOutage*(0.8+0.4*rand.Float64()))
+		x.respond(http.StatusServiceUnavailable, "store is out of reach", retryAfterOutage*(0.8+0.4*rand.Float64()))
 	default:
-		x.answer(http.StatusServiceUnavailable, "state of the program is not known", comeBackStepIn*(0.5+rand.Float64()))
+		x.respond(http.StatusServiceUnavailable, "state of the program is not known", retryAfterFailover*(0.5+rand.Float64()))
 	}
 	return false
 }
 
-// closeTurn settles a turn. A whole one that is kept is durable before its answer ends, else the answer is broken off.
-func (x *exchange) closeTurn(s *stream, whole bool) {
+// closeTurn closes a turn. A complete turn that is retained must be durable before its response ends; if it can't be stored,
+// the response is aborted.
+func (x *exchange) closeTurn(s *stream, complete bool) {
 	if x.turn == nil || x.turn.closed {
 		return
 	}
@@ -65,36 +67,37 @@
 		Program: x.attempt.Program, Prompt: x.attempt.Prefix, Attempt: x.attempt.ID, Holder: x.turn.open.Holder,
 		Used: s.events * x.tokensPerEvent(), Replica: x.replica,
 	}
-	if !whole || !x.turn.kept {
+	if !complete || !x.turn.retained {
 		go x.settle(q)
 		return
 	}
 	q.Turn = &hgturn.Turn{ID: x.attempt.ID, Previous: x.attempt.Previous, Input: x.body, Output: s.output}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), max(x.left(), time.Millisecond))
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), max(x.remaining(), time.Millisecond))
 	defer cancel()
 	began := x.entry.timer.Now()
 	err := x.entry.programs.Close(ctx, x.turn.owner, q)
-	x.keepTook = x.entry.timer.Now() - began
-	x.entry.figures.Observe("turnKeep", x.keepTook)
+	x.retainTime = x.entry.timer.Now() - began
+	x.entry.metrics.Observe("turnKeep", x.retainTime)
 	if err != nil {
 		x.abort("turn could not be kept: " + err.Error())
 	}
 }
 
+// settle closes a turn in the background.
 func (x *exchange) settle(q hgledger.CloseRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	if err := x.entry.programs.Close(ctx, x.turn.owner, q); err != nil {
-		x.entry.log.Warn("turn not settled", "attempt", q.Attempt, "error", err)
+		x.entry.log.Warn("could not close turn", "attempt", q.Attempt, "error", err)
 	}
 }
 
-// mayHandOut says whether the turn's reservation holds one more event.
-func (x *exchange) mayHandOut(s *stream) bool {
+// withinReservation reports whether one more event fits the turn's token reservation. The first event always does.
+func (x *exchange) withinReservation(s *stream) bool {
 	return x.turn == nil || !x.attempt.HasBudget || (s.events+1)*x.tokensPerEvent() <= max(x.turn.open.Most, x.tokensPerEvent())
 }
 
-// tokensPerEvent returns the tokens that an event of the route's engines counts.
+// tokensPerEvent returns the number of tokens that one event of the route's engines stands for.
 func (x *exchange) tokensPerEvent() int {
 	for _, s := range x.route.Shares {
 		if e := x.state.Services[s.Service].Engine; e != nil && e.TokensPerEvent > 0 {
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -84,7 +84,7 @@
 red entryHead TestReplicaFaults internal/proof/hgsite \
   internal/serve/hgentry/stream.go 's/if err := x\.copyEvents\(s, t\)/x.copyHead(t.resp)\n\tif err := x.copyEvents(s, t)/'
 red entryStranger TestReplicaFaults internal/proof/hgsite \
-  internal/serve/hgentry/send.go 's/strange := /strange := false \&\& /'
+  internal/serve/hgentry/send.go 's/mismatched := /mismatched := false \&\& /'
 red entryForged TestForgedHeaders internal/proof/hgsite \
   platform/request.go 's/h\.Del\(name\)/_ = name/'
 red entryStop TestGracefulStop internal/proof/hgsite \
@@ -111,7 +111,7 @@
 red crashCaller TestInnocentsBesideCrashingRequestAreServed internal/proof/hgsite \
   internal/serve/hgsuspect/request.go 's/return \[\]uint64\{r\.Content, r\.Caller\}/return []uint64{r.Content}/'
 red crashAgain TestCrashingCopiesUnderWayAreCheckedAgain internal/proof/hgsite \
-  internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.suspect\); refused/refused := x.entry.suspects.Refused(x.suspect); refused \&\& false/'
+  internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.digests\); refused/refused := x.entry.suspects.Refused(x.digests); refused \&\& false/'
 red crashSilent TestCrashingRequestThatEndsReplicasSilently internal/proof/hgsite \
   internal/operate/hgedge/node.go 's/n\.set\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
 red silentPeers TestMembers internal/peer/hgpeer \
