--- a/internal/serve/hgattempt/attempt.go
+++ b/internal/serve/hgattempt/attempt.go
@@ -2,67 +2,70 @@
 
 import "time"
 
-// Attempt is one attempt of a caller.
+// Attempt is the metadata of a request that a caller sent.
 type Attempt struct {
-	// ID is unique among all attempts.
+	// ID identifies the attempt; callers make it unique.
 	ID string
-	// Deadline is the time for which the caller waits; 0 means that it did not say.
+	// Deadline is how long the caller waits for the response; 0 if the request does not say.
 	Deadline time.Duration
-	// Object names what the request is about; requests with the same one are faster on the same replica.
+	// Object identifies what the request is about, for affinity: requests with the same object are faster on the same replica.
 	Object string
-	// TokensIn is the length of the prompt and MostOut the most tokens that are generated.
+	// TokensIn is the length of the prompt and MostOut the limit of generated tokens.
 	TokensIn, MostOut int
-	// Estimate is the caller's estimate of the tokens that are generated; 0 if it gives none.
+	// Estimate is the number of tokens that the caller expects to be generated; 0 if the request does not say.
 	Estimate int
-	// Prefix lists the parts of the prompt in order.
+	// Prefix lists the parts that the prompt starts with, in order. Replicas that have them cached need not read them again.
 	Prefix []Part
-	// LastEvent is the identifier of the last event that the caller has; empty at the start of a stream.
+	// LastEvent is the identifier of the last event that the caller has received; empty if the stream starts anew.
 	LastEvent string
-	// Program is the program and Session the line of its turns.
+	// Program identifies the program that the request belongs to, and Session the sequence of turns within the program;
+	// empty if the request names none.
 	Program, Session string
-	// ProgramLeft is the time until the program should be finished; HasProgramLeft says whether the caller tells it.
+	// ProgramLeft is the time after which the program counts as late, if HasProgramLeft is set.
 	ProgramLeft    time.Duration
 	HasProgramLeft bool
-	// Budget is the number of tokens that all turns of the program may generate; HasBudget says whether there is one.
+	// Budget is the number of tokens that all turns of the program together may generate, if HasBudget is set.
 	Budget    int
 	HasBudget bool
-	// Previous is the identifier of the turn that this one continues; empty at the start of a chain.
+	// Previous is the identifier of the turn that this one continues, which is that of its attempt; empty for a first turn.
 	Previous string
 }
 
-// Part is a part of a prompt that requests may share.
+// Part is a part of a prompt; several requests may contain the same part.
 type Part struct {
-	ID     string
+	ID string
+	// Tokens is the length of the part.
 	Tokens int
 }
 
-// Send is what a replica is told with a request.
+// Send is the metadata that is added to a request for a replica.
 type Send struct {
-	// Replica is the identifier of the replica that is meant.
+	// Replica identifies the replica that the request is for, so that another one at the same address can refuse it.
 	Replica string
-	// Left is the time to answer.
+	// Left is the time until the request's deadline.
 	Left time.Duration
-	// LastEvent is the event after which a stream goes on; empty for all of it.
+	// LastEvent is the identifier of the event after which to resume a stream; empty to send all of it.
 	LastEvent string
-	// FetchFrom is the address of the replica from which to fetch kept parts of the prompt; empty for none.
+	// FetchFrom is the address of the replica from which to fetch cached parts of the prompt; empty to fetch none.
 	FetchFrom string
 }
 
-// Answer is what the head of a replica's answer says.
+// Answer is the metadata of a replica's response, as decoded from its status and headers.
 type Answer struct {
-	// AttemptID is the attempt that the answer belongs to.
+	// AttemptID identifies the attempt that the response belongs to.
 	AttemptID string
-	// Sealed says that the answer bears the replica's seal.
+	// Sealed says that the response has the replica's seal. A successful response without one counts as lost.
 	Sealed bool
-	// NotRun says that the replica has not run the request.
+	// NotRun says that the replica refused the request without running it.
 	NotRun bool
-	// Failed says that the replica ran the request and failed it.
+	// Failed says that the replica ran the request and responded with a server error.
 	Failed bool
-	// Leaving says that the replica will end soon and is to get no new requests.
+	// Leaving says that the replica shuts down soon and must get no new requests.
 	Leaving bool
-	// KeepsIdle is how long the replica keeps an unused connection; 0 if it does not say.
+	// KeepsIdle is how long the replica keeps an idle connection open; 0 if the response does not say.
 	KeepsIdle time.Duration
-	// HasLoad says that Running, Waiting and Slots are known.
+	// HasLoad says that the response reports the replica's load: Running and Waiting are its requests in progress and in its
+	// queue, and Slots is how many it runs at once.
 	HasLoad                 bool
 	Running, Waiting, Slots int
 }
--- a/internal/serve/hgattempt/doc.go
+++ b/internal/serve/hgattempt/doc.go
@@ -1,2 +1,3 @@
-// Package hgattempt holds what an attempt of a caller and an answer of a replica say, apart from how they are spelled.
+// Package hgattempt defines the metadata of requests and responses, independent of the headers that carry it: what callers
+// send, what replicas are sent and what they return.
 package hgattempt
