--- a/internal/serve/hgmemory/doc.go
+++ b/internal/serve/hgmemory/doc.go
@@ -1,2 +1,2 @@
-// Package hgmemory bounds the bytes of the answers that a node holds at once until they are whole.
+// Package hgmemory limits the memory that a node uses for responses that are buffered until they are complete.
 package hgmemory
--- a/internal/serve/hgmemory/pool_test.go
+++ b/internal/serve/hgmemory/pool_test.go
@@ -33,7 +33,7 @@
 				t.Errorf("error %v, want %v", err, tt.want)
 			}
 			d.Release()
-			// All of the memory is free again.
+			// The pool's memory must be free again, after an error too.
 			if _, err := p.Read(strings.NewReader(strings.Repeat("y", 30_000)), 32_000); err != nil {
 				t.Errorf("memory is held: %v", err)
 			}
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -141,7 +141,7 @@
 red silentStore TestWatchSilentStore internal/state/hgfeed \
   internal/state/hgfeed/hurry.go 's/c\.end != nil && c\.wait > UsualWait/c.end != nil/'
 red endless TestEndlessBytes internal/proof/hgsite \
-  internal/serve/hgmemory/pool.go 's/p\.taken\.Add\(n\) > p\.limit/p.taken.Add(n) < 0/'
+  internal/serve/hgmemory/pool.go 's/p\.reserved\.Add\(n\) > p\.limit/p.reserved.Add(n) < 0/'
 red callerTime TestTimeHandedOn internal/proof/hgsite \
   platform/request.go 's/left\.Milliseconds\(\)/(2 * left).Milliseconds()/'
 red callerLeaves TestCallerLeaves internal/proof/hgsite \
