--- a/internal/serve/hgsuspect/entry.go
+++ b/internal/serve/hgsuspect/entry.go
@@ -10,85 +10,88 @@
 )
 
 const (
-	// maxKept bounds the breaks that an entry holds; more than decide are not needed.
-	maxKept = 8
-	// proofFor is how long a proof stands against breaks after it: the proofs of callers that share a request reach all VMs
-	// within that time.
-	proofFor = 2 * time.Second
+	// maxCrashesKept bounds the crashes that an entry holds; further ones would not change any decision.
+	maxCrashesKept = 8
+	// proofGrace is how long after a proof a request is not refused, whatever crashes follow. When several callers send the
+	// same request, their proofs reach all VMs within that time.
+	proofGrace = 2 * time.Second
 )
 
-// lostRun is a run of a request under which its replica broke off.
-type lostRun struct {
-	// id names the break among all.
+// crash is a suspected crash of a replica while it ran a request.
+type crash struct {
+	// id is random; it identifies the crash across all lists.
 	id uint64
 	at time.Duration
-	// excused says that its service was failing, so that the break is not held against the request.
+	// excused says that the service was failing at the time, so that the crash does not count against the request.
 	excused bool
 }
 
-// proof is the last run of a request that came to its end. Of two the one with the greater number counts, and of those with
-// the same number the one with the greater id, so that all lists agree on one whatever their clocks say.
+// proof is the last completed run of a request, which proves that the request does not crash replicas. Of two proofs the one
+// with the greater seq wins, and with equal seq the one with the greater id, so that all lists agree on one even if their
+// clocks differ.
 type proof struct {
-	// seq is 0 if there was none.
+	// seq is 0 if no run was completed.
 	seq, id uint64
 	at      time.Duration
 }
 
 func (p proof) isNewer(o proof) bool { return p.seq > o.seq || p.seq == o.seq && p.id > o.id }
 
-// entry is what is known of a request. Merging two in any order, also again, gives the same.
+// entry holds the crashes and the proof of a request. Merging entries is commutative and idempotent.
 type entry struct {
-	// breaks are the newest ones, the oldest first.
-	breaks []lostRun
-	proof  proof
-	// at is the time of the last change and number its number; own is the number of the last one made at this list itself.
-	at          time.Duration
-	number, own uint64
-	// saved is the fingerprint as of which the entry is known to be durable.
-	saved uint64
+	// crashes are the newest ones, ordered from oldest to newest.
+	crashes []crash
+	proof   proof
+	// changedAt is the time of the last change and changeNumber its number; localNumber is the number of the last change that
+	// did not come from a peer or the store.
+	changedAt                 time.Duration
+	changeNumber, localNumber uint64
+	// savedFingerprint is the fingerprint of the entry as it was last stored; 0 if it never was.
+	savedFingerprint uint64
 }
 
-func (e *entry) addBreak(b lostRun) {
-	if slices.ContainsFunc(e.breaks, func(have lostRun) bool { return have.id == b.id }) {
+// addCrash inserts a crash in the order of time, unless the entry has it already.
+func (e *entry) addCrash(c crash) {
+	if slices.ContainsFunc(e.crashes, func(have crash) bool { return have.id == c.id }) {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(e.breaks, b, func(have, b lostRun) int { return int(have.at - b.at) })
-	e.breaks = slices.Insert(e.breaks, at, b)
-	if len(e.breaks) > maxKept {
-		e.breaks = slices.Delete(e.breaks, 0, 1)
+	i, _ := slices.BinarySearchFunc(e.crashes, c, func(have, c crash) int { return int(have.at - c.at) })
+	e.crashes = slices.Insert(e.crashes, i, c)
+	if len(e.crashes) > maxCrashesKept {
+		e.crashes = slices.Delete(e.crashes, 0, 1)
 	}
 }
 
-// all returns the number of breaks since the last proof, the excused ones included.
-func (e *entry) all(now time.Duration) int { return len(e.since(now)) }
+// allCrashes returns the number of crashes since the proof, including excused ones.
+func (e *entry) allCrashes(now time.Duration) int { return len(e.crashesSinceProof(now)) }
 
-// count returns the number of breaks since the last proof that are held against the request.
-func (e *entry) count(now time.Duration) int {
-	return lo.CountBy(e.since(now), func(b lostRun) bool { return !b.excused })
+// countedCrashes returns the number of crashes since the proof, without excused ones.
+func (e *entry) countedCrashes(now time.Duration) int {
+	return lo.CountBy(e.crashesSinceProof(now), func(c crash) bool { return !c.excused })
 }
 
-// since returns the breaks since the last proof.
-func (e *entry) since(now time.Duration) []lostRun {
-	return lo.Filter(e.breaks, func(b lostRun, _ int) bool { return now-b.at <= keepFor && (e.proof.seq == 0 || b.at > e.proof.at) })
+// crashesSinceProof returns the crashes after the proof and within the retention time.
+func (e *entry) crashesSinceProof(now time.Duration) []crash {
+	return lo.Filter(e.crashes, func(c crash, _ int) bool { return now-c.at <= retention && (e.proof.seq == 0 || c.at > e.proof.at) })
 }
 
-// left returns how much longer the request is refused.
-func (e *entry) left(now time.Duration) time.Duration {
-	n := e.count(now)
-	if n < maxBreaks || e.proof.seq > 0 && now-e.proof.at < proofFor {
+// refusedFor returns how much longer the request is refused; 0 or less if it is not.
+func (e *entry) refusedFor(now time.Duration) time.Duration {
+	n := e.countedCrashes(now)
+	if n < maxCrashes || e.proof.seq > 0 && now-e.proof.at < proofGrace {
 		return 0
 	}
-	return refusals[min(n-maxBreaks, len(refusals)-1)] - (now - e.breaks[len(e.breaks)-1].at)
+	return refusalTimes[min(n-maxCrashes, len(refusalTimes)-1)] - (now - e.crashes[len(e.crashes)-1].at)
 }
 
-// print returns a fingerprint of what the entry says of a request; 0 if it says nothing.
-func (e *entry) print(digest uint64) uint64 {
-	if len(e.breaks) == 0 && e.proof.seq == 0 {
+// fingerprint returns a hash of digest, proof and crashes; 0 for an empty entry. Times are left out, as they differ between VMs.
+func (e *entry) fingerprint(digest uint64) uint64 {
+	if len(e.crashes) == 0 && e.proof.seq == 0 {
 		return 0
 	}
 	ids := []uint64{digest, e.proof.seq, e.proof.id}
-	for _, b := range e.breaks {
-		ids = append(ids, b.id)
+	for _, c := range e.crashes {
+		ids = append(ids, c.id)
 	}
 	slices.Sort(ids[3:])
 	var raw []byte
--- a/internal/serve/hgsuspect/exchange.go
+++ b/internal/serve/hgsuspect/exchange.go
@@ -8,55 +8,60 @@
 	"github.com/samber/lo"
 )
 
-// Lists are brought into agreement by exchanges between pairs of peers: an offer pushes what has changed at one list, and the
-// answer returns what the other knows beyond that. What is lost with a message is sent again by the next exchange, and a list
-// that starts anew gets all.
+// Lists are synchronized by exchanges between pairs of peers. An offer contains the changes made at the sender's own VM, and the
+// answer contains changes at the receiver's list that the sender does not have. Records in a lost message are sent again with
+// the next exchange, and a list that starts empty receives all records.
 
-// maxRecords bounds the records of one message; the others follow with the next ones.
+// maxRecords bounds the records of one message; further ones follow with the next messages.
 const maxRecords = 200
 
-// Break is a replica that broke off under a request, some time ago.
-type Break struct {
+// Crash is a suspected crash of a replica while it ran a request. Ages instead of times keep records independent of the clocks
+// of VMs.
+type Crash struct {
 	ID  uint64
 	Age time.Duration
-	// Excused says that the break is not held against the request.
+	// Excused says that the crash does not count against the request, because the service was failing.
 	Excused bool
 }
 
-// Proof is the last run of a request that came to its end, some time ago; Seq is 0 if there was none.
+// Proof is the last completed run of a request; Seq is 0 if there was none.
 type Proof struct {
 	Seq, ID uint64
 	Age     time.Duration
 }
 
-// Record is what a list tells of a request.
+// Record is the encoded form of an entry: the crashes and the proof of the requests with a digest.
 type Record struct {
 	Digest uint64
-	Breaks []Break
+	Breaks []Crash
 	Proof  Proof
 }
 
-// Cursor is how far the changes of a list are known; without a run nothing is.
+// Cursor is a position in the sequence of changes of one list: the list's run and the number of the last change that is known.
+// Run is 0 if nothing is known.
 type Cursor struct{ Run, Number uint64 }
 
-// Exchange is an offer to a peer, or the answer to one.
+// Exchange is the message of both directions: an offer to a peer, or the answer to an offer.
 type Exchange struct {
-	// Known is how far the sender of an offer knows the receiver's list, and Taken, in an answer, what it has taken of the offer.
+	// Known is set in offers: the position up to which the sender has the receiver's list. Taken is set in answers: the
+	// position up to which the sender of the answer has merged the list of the offer's sender.
 	Known, Taken Cursor
-	// Now is how far the receiver knows the sender's list with this message, of an offer only the sender's own changes; without
-	// a run no further than before.
+	// Now is the position in the sender's list that the receiver reaches by merging this message. In offers it refers only to
+	// changes made at the sender's own VM. Its Run is 0 if the position does not change.
 	Now Cursor
-	// Print is the fingerprint of the sender's list.
+	// Print is the fingerprint of the sender's list; lists with the same one need not exchange records.
 	Print   uint64
 	Records []Record
 }
 
-// peer is what is known of another list.
+// peer is the progress of the exchanges with one peer.
 type peer struct {
-	// known is how far this list holds what the peer's does, and acked how far the peer has taken this list's own changes.
+	// known is the position up to which this list has the peer's list. acked is the position up to which the peer has this
+	// list's own changes.
 	known, acked Cursor
 }
 
+// peer returns the progress with a peer and creates it if there is none; l.mu is held.
 func (l *List) peer(name string) *peer {
 	p, ok := l.peers[name]
 	if !ok {
@@ -66,36 +71,36 @@
 	return p
 }
 
-// Offer returns what to send to a peer.
+// Offer returns the message to send to a peer, with the changes made at this VM that the peer has not acknowledged.
 func (l *List) Offer(name string) Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peer(name)
-	records, now := l.since(p.acked, func(e *entry) uint64 { return e.own })
-	offer := Exchange{Known: p.known, Print: l.print, Records: records}
+	records, now := l.changesSince(p.acked, func(e *entry) uint64 { return e.localNumber })
+	offer := Exchange{Known: p.known, Print: l.fingerprint, Records: records}
 	if len(records) > 0 {
 		offer.Now = now
 	}
 	return offer
 }
 
-// Answer takes a peer's offer and returns the answer.
+// Answer merges a peer's offer and returns the answer to send back.
 func (l *List) Answer(name string, offer Exchange) Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.merge(name, offer.Records)
-	answer := Exchange{Taken: offer.Now, Print: l.print}
-	now := Cursor{l.run, l.last}
-	if offer.Print != l.print {
-		answer.Records, now = l.since(offer.Known, func(e *entry) uint64 { return e.number })
+	answer := Exchange{Taken: offer.Now, Print: l.fingerprint}
+	now := Cursor{l.run, l.lastNumber}
+	if offer.Print != l.fingerprint {
+		answer.Records, now = l.changesSince(offer.Known, func(e *entry) uint64 { return e.changeNumber })
 	}
-	if now != offer.Known && l.last > 0 {
+	if now != offer.Known && l.lastNumber > 0 {
 		answer.Now = now
 	}
 	return answer
 }
 
-// Take takes a peer's answer to an offer.
+// Take merges a peer's answer to an offer.
 func (l *List) Take(name string, answer Exchange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +114,7 @@
 	}
 }
 
-// Retain forgets the peers that are not named.
+// Retain drops the exchange progress of all peers except those in names.
 func (l *List) Retain(names map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +125,7 @@
 	}
 }
 
-// advance returns the cursor that is further, or the one of the newer run.
+// advance returns the further one of two cursors of the same run, and to if the runs differ.
 func (c Cursor) advance(to Cursor) Cursor {
 	if c.Run == to.Run && c.Number > to.Number {
 		return c
@@ -128,13 +133,14 @@
 	return to
 }
 
-// since returns the entries whose number is beyond a cursor, the first ones, and the cursor with them; l.mu is held.
-func (l *List) since(known Cursor, number func(e *entry) uint64) (records []Record, now Cursor) {
-	now = Cursor{Run: l.run, Number: l.last}
+// changesSince returns up to maxRecords records of entries whose number is beyond a cursor, lowest numbers first if there are
+// more, and the cursor after them; l.mu is held.
+func (l *List) changesSince(known Cursor, number func(e *entry) uint64) (records []Record, now Cursor) {
+	now = Cursor{Run: l.run, Number: l.lastNumber}
 	if known.Run != l.run {
 		known = Cursor{Run: l.run}
 	}
-	if known.Number >= l.last {
+	if known.Number >= l.lastNumber {
 		return nil, now
 	}
 	var changed []uint64
@@ -151,34 +157,36 @@
 	return lo.Map(changed, func(digest uint64, _ int) Record { return l.entries[digest].record(digest, l.timer.Now()) }), now
 }
 
-// merge takes over records from a source; l.mu is held.
+// merge merges records from a source into the list; l.mu is held.
 func (l *List) merge(source string, records []Record) {
 	now := l.timer.Now()
 	for _, r := range records {
-		l.mergeOne(source, r, now)
+		l.mergeRecord(source, r, now)
 	}
 }
 
-func (l *List) mergeOne(source string, r Record, now time.Duration) *entry {
+// mergeRecord merges one record into its entry and returns the entry; l.mu is held.
+func (l *List) mergeRecord(source string, r Record, now time.Duration) *entry {
 	e := l.entry(r.Digest, now)
 	l.change(r.Digest, e, now, source, func() { e.merge(r, now) })
 	return e
 }
 
-// merge takes over what a record says.
+// merge adds the crashes of a record and takes its proof if that is newer.
 func (e *entry) merge(r Record, now time.Duration) {
-	for _, b := range r.Breaks {
-		e.addBreak(lostRun{id: b.ID, at: now - b.Age, excused: b.Excused})
+	for _, c := range r.Breaks {
+		e.addCrash(crash{id: c.ID, at: now - c.Age, excused: c.Excused})
 	}
 	if p := (proof{seq: r.Proof.Seq, id: r.Proof.ID, at: now - r.Proof.Age}); p.isNewer(e.proof) {
 		e.proof = p
 	}
 }
 
+// record returns the entry in its encoded form.
 func (e *entry) record(digest uint64, now time.Duration) Record {
 	return Record{
 		Digest: digest,
-		Breaks: lo.Map(e.breaks, func(b lostRun, _ int) Break { return Break{ID: b.id, Age: now - b.at, Excused: b.excused} }),
+		Breaks: lo.Map(e.crashes, func(c crash, _ int) Crash { return Crash{ID: c.id, Age: now - c.at, Excused: c.excused} }),
 		Proof:  Proof{Seq: e.proof.seq, ID: e.proof.id, Age: lo.Ternary(e.proof.seq > 0, now-e.proof.at, 0)},
 	}
 }
--- a/internal/serve/hgsuspect/exchange_test.go
+++ b/internal/serve/hgsuspect/exchange_test.go
@@ -13,7 +13,7 @@
 	"hyssopgrade/internal/serve/hgsuspect"
 )
 
-// exchange has one list offer to another; lost says which of the two messages gets lost.
+// exchange sends an offer from one list to another and the answer back; each of the two messages may be lost.
 func exchange(from, to *hgsuspect.List, fromName, toName string, lostOffer, lostAnswer bool) {
 	offer := from.Offer(toName)
 	if lostOffer {
@@ -24,7 +24,7 @@
 	}
 }
 
-// refusedBy returns which of the lists refuse a request.
+// refusedBy returns for each list whether it refuses a request.
 func refusedBy(lists []*hgsuspect.List, digest uint64) (all []bool) {
 	for _, l := range lists {
 		_, refused := l.Refused(request(digest))
@@ -33,7 +33,8 @@
 	return all
 }
 
-// Whatever messages get lost and whichever list starts anew, one exchange of each pair makes all agree.
+// Lost messages or a restarted list must not leave lists with different records: after rounds of exchanges between all pairs
+// without loss, all lists refuse the same requests.
 func TestExchangeMakesListsAgree(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	for seed := range uint64(200) {
@@ -52,11 +53,11 @@
 				}
 			}
 		}
-		told := map[uint64]int{}
+		crashes := map[uint64]int{}
 		for range 40 {
 			digest := uint64(r.IntN(4))
 			lists[r.IntN(2)].Broke(request(digest))
-			told[digest]++
+			crashes[digest]++
 			c.now += 10 * time.Millisecond
 			if r.IntN(3) == 0 {
 				round(0.7)
@@ -67,25 +68,25 @@
 		}
 		round(0)
 		round(0)
-		for digest, n := range told {
+		for digest, n := range crashes {
 			want := n >= 3
 			if diff := cmp.Diff([]bool{want, want, want, want}, refusedBy(lists, digest)); diff != "" {
-				t.Fatalf("seed %d, request %d after %d breaks (-want +got):\n%s", seed, digest, n, diff)
+				t.Fatalf("seed %d, request %d after %d crashes (-want +got):\n%s", seed, digest, n, diff)
 			}
 		}
 		for i := range lists {
 			if offer := lists[i].Offer("new"); len(offer.Records) > 0 && i > 1 {
-				t.Errorf("seed %d: list %d pushes %d changes of others", seed, i, len(offer.Records))
+				t.Errorf("seed %d: the offer of list %d has %d changes made at other lists", seed, i, len(offer.Records))
 			}
 			answer := lists[i].Answer("agrees", lists[(i+1)%4].Offer("agrees"))
 			if len(answer.Records) > 0 {
-				t.Errorf("seed %d: lists that agree send %d records", seed, len(answer.Records))
+				t.Errorf("seed %d: the answer between equal lists has %d records", seed, len(answer.Records))
 			}
 		}
 	}
 }
 
-// A proof at one list clears the request at all; breaks after it count anew.
+// A completed run at one VM must clear the request at all VMs; only crashes after it count from then on.
 func TestProofClearsEverywhere(t *testing.T) {
 	c := &clock{now: time.Minute}
 	a, b := hgsuspect.NewList(c, hglog.Discard()), hgsuspect.NewList(c, hglog.Discard())
@@ -100,15 +101,15 @@
 		b.Broke(request(1))
 	}
 	if _, refused := b.Refused(request(1)); refused {
-		t.Error("refused after two breaks since the proof")
+		t.Error("refused after two crashes since the proof")
 	}
 	b.Broke(request(1))
 	if _, refused := b.Refused(request(1)); !refused {
-		t.Error("not refused after three breaks since the proof")
+		t.Error("not refused after three crashes since the proof")
 	}
 }
 
-// More changes than one message holds come with the next ones.
+// Changes beyond the limit of one message must follow with the next messages.
 func TestExchangeInParts(t *testing.T) {
 	c := &clock{now: time.Minute}
 	a, b := hgsuspect.NewList(c, hglog.Discard()), hgsuspect.NewList(c, hglog.Discard())
@@ -128,16 +129,16 @@
 	}
 }
 
-// What the store keeps tells a list that starts anew as much as the list that wrote it knew.
+// After a loss of all lists, a list that starts empty must get from the stored rows all that the list that wrote them had.
 func TestRowsOutliveAllLists(t *testing.T) {
 	c := &clock{now: time.Minute}
 	before := hgsuspect.NewList(c, hglog.Discard())
 	before.Broke(request(1))
 	if records := before.Unsaved(false, 10); len(records) > 0 {
-		t.Errorf("a single break is to be saved: %v", records)
+		t.Errorf("a single crash is to be saved: %v", records)
 	}
 	if records := before.Unsaved(true, 10); len(records) != 2 {
-		t.Errorf("%d records of a list that hears no peer, want those of content and caller", len(records))
+		t.Errorf("%d records of an isolated list, want those of content and caller", len(records))
 	}
 	before.Broke(request(1))
 	before.Broke(request(1))
@@ -152,7 +153,7 @@
 	for _, r := range records {
 		loaded = append(loaded, hgsuspect.RowOf(r, now).Record(now.Add(time.Second)))
 	}
-	if diff := cmp.Diff(records, loaded, cmpopts.IgnoreFields(hgsuspect.Break{}, "Age"), cmpopts.IgnoreFields(hgsuspect.Proof{}, "Age")); diff != "" {
+	if diff := cmp.Diff(records, loaded, cmpopts.IgnoreFields(hgsuspect.Crash{}, "Age"), cmpopts.IgnoreFields(hgsuspect.Proof{}, "Age")); diff != "" {
 		t.Errorf("records (-want +got):\n%s", diff)
 	}
 	after.Load(loaded)
@@ -161,7 +162,7 @@
 	}
 }
 
-// BenchmarkExchange is an offer and its answer between lists that hold some requests, and of which some have changed since.
+// BenchmarkExchange measures an offer and its answer between lists of different sizes, with and without new changes.
 func BenchmarkExchange(b *testing.B) {
 	for name, changed := range map[string]int{"agree": 0, "10 changed": 10} {
 		for _, requests := range []uint64{0, 1000, 5000} {
--- a/internal/serve/hgsuspect/list.go
+++ b/internal/serve/hgsuspect/list.go
@@ -12,38 +12,41 @@
 )
 
 const (
-	// maxBreaks is the number of replicas that may break off under a request before it is refused. Lost answers look
-	// the same; three in a row of one request are rare among them.
-	maxBreaks = 3
-	// keepFor is how long a request stays on the list after its last break or proof.
-	keepFor = time.Hour
-	// maxEntries bounds the list; the oldest entries go first, those that refuse a request last.
+	// maxCrashes is the number of suspected crashes from which on a request is refused. A lost response looks like a crash,
+	// but rarely are three in a row lost of one request.
+	maxCrashes = 3
+	// retention is how long a request stays on the list after its last crash or proof.
+	retention = time.Hour
+	// maxEntries bounds the list. The oldest entries are evicted first, those of refused requests last.
 	maxEntries = 10_000
-	// refreshProof is the least time between two proofs of a request, which are told to all VMs.
-	refreshProof = 500 * time.Millisecond
+	// minProofInterval is the least time between two proofs of a request, as each one is sent to all VMs.
+	minProofInterval = 500 * time.Millisecond
 )
 
-// refusals are how long a request is refused after its last break, by the number of breaks from maxBreaks on. Each time one
-// that broke by chance may prove itself; one that ends replicas gets as many retries as there are steps before the last.
-var refusals = []time.Duration{time.Minute, 5 * time.Minute, 20 * time.Minute, keepFor}
+// refusalTimes are how long a request is refused after its last crash, by the number of crashes from maxCrashes on. After each
+// time the request may run again, so that one that only coincided with crashes can prove itself harmless; one that does
+// crash replicas gets as many retries as there are steps before the last.
+var refusalTimes = []time.Duration{time.Minute, 5 * time.Minute, 20 * time.Minute, retention}
 
-// List holds the requests under which replicas broke off, and merges what other lists know; it is safe for concurrent use.
+// List holds the requests that are suspected of crashing replicas, and merges the lists of other VMs into it; it is safe for
+// concurrent use.
 type List struct {
 	timer hgtimer.Timer
 	log   *slog.Logger
-	// run names the list among all that were ever made.
+	// run is a random identifier of this list; a restarted VM has a list with a new one.
 	run uint64
 
 	mu      sync.Mutex
 	entries map[uint64]*entry
-	// last is the number of the last change.
-	last uint64
-	// print is a fingerprint of all entries, the same for lists that hold the same.
-	print uint64
+	// lastNumber is the number of the last change; changes are numbered from 1.
+	lastNumber uint64
+	// fingerprint combines the fingerprints of all entries; lists with equal entries have the same one.
+	fingerprint uint64
+	// peers holds the progress of the exchanges with each peer, by its name.
 	peers map[string]*peer
-	// outcomes are how runs of each service ended lately at this VM.
+	// outcomes holds how the last runs of each service ended at this VM.
 	outcomes map[string]outcomes
-	// unanswered are the last runs without an answer at each replica.
+	// unanswered holds the last runs without a response, by replica.
 	unanswered map[string][]unanswered
 }
 
@@ -54,27 +57,28 @@
 	}
 }
 
-// Broke tells that a replica broke off while it ran a request.
+// Broke records a suspected crash: a replica's connection broke while it ran a request. While the service is failing, the crash is
+// recorded as excused, and only under the digest that includes the caller.
 func (l *List) Broke(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
 	isFailing := l.outcomes[r.Service].isFailing(r.Content, now)
 	l.outcomes[r.Service] = l.outcomes[r.Service].add(r.Content, true, now)
-	// Under a failing service callers that share the content would have it refused for all, while one that sends it again
-	// and again is told by its own digest.
+	// When a whole service fails, a request that several callers send would soon have enough crashes to be refused for all of
+	// them. A caller that keeps resending a request is still recognized by the digest that includes the caller.
 	digests := []uint64{r.Caller}
 	if !isFailing {
 		digests = r.digests()
 	}
 	for _, digest := range digests {
 		e := l.entry(digest, now)
-		l.change(digest, e, now, here, func() { e.addBreak(lostRun{id: rand.Uint64(), at: now, excused: isFailing}) })
-		l.log.Info("break counted", "digest", digest, "caller", digest == r.Caller, "breaks", e.count(now), "excused", isFailing)
+		l.change(digest, e, now, sourceLocal, func() { e.addCrash(crash{id: rand.Uint64(), at: now, excused: isFailing}) })
+		l.log.Info("suspected replica crash recorded", "digest", digest, "caller", digest == r.Caller, "breaks", e.countedCrashes(now), "excused", isFailing)
 	}
 }
 
-// Ended tells that a replica ran a request to its end, which proves it harmless.
+// Ended records that a replica ran a request to completion, which proves it harmless: earlier crashes no longer count.
 func (l *List) Ended(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,41 +86,42 @@
 	l.outcomes[r.Service] = l.outcomes[r.Service].add(r.Content, false, now)
 	for _, digest := range r.digests() {
 		e, ok := l.entries[digest]
-		if ok && (e.proof.seq == 0 || e.all(now) > 0 && now-e.proof.at >= refreshProof) {
-			l.change(digest, e, now, here, func() { e.proof = proof{seq: e.proof.seq + 1, id: rand.Uint64(), at: now} })
+		if ok && (e.proof.seq == 0 || e.allCrashes(now) > 0 && now-e.proof.at >= minProofInterval) {
+			l.change(digest, e, now, sourceLocal, func() { e.proof = proof{seq: e.proof.seq + 1, id: rand.Uint64(), at: now} })
 		}
 	}
 }
 
-// Refused says whether a request is not to be run, and for how much longer.
+// Refused reports whether a request must not run, and for how much longer.
 func (l *List) Refused(r Request) (left time.Duration, refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
 	for _, digest := range r.digests() {
 		if e, ok := l.entries[digest]; ok {
-			left = max(left, e.left(now))
+			left = max(left, e.refusedFor(now))
 		}
 	}
-	if e, ok := l.entries[r.Caller]; ok && left <= 0 && e.all(now) > maxBreaks && l.outcomes[r.Service].isFailing(r.Content, now) {
-		left = outcomeFor
+	// While the service is failing, crashes are excused, but a caller that keeps resending the request is still refused.
+	if e, ok := l.entries[r.Caller]; ok && left <= 0 && e.allCrashes(now) > maxCrashes && l.outcomes[r.Service].isFailing(r.Content, now) {
+		left = outcomeMaxAge
 	}
 	return left, left > 0
 }
 
-// Len returns the number of digests on the list.
+// Len returns the number of entries; a request may have two, by content and by caller.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries)
 }
 
-// entry returns the entry of a digest, a new one if there is none; l.mu is held.
+// entry returns the entry of a digest and creates it if there is none; l.mu is held.
 func (l *List) entry(digest uint64, now time.Duration) *entry {
 	e, ok := l.entries[digest]
 	if !ok {
 		if len(l.entries) >= maxEntries {
-			l.forget(now)
+			l.evict(now)
 		}
 		e = &entry{}
 		l.entries[digest] = e
@@ -124,62 +129,63 @@
 	return e
 }
 
-// Sources of changes besides peers, which stand by their names.
+// Sources of changes, for the log; changes from a peer have the peer's name as their source.
 const (
-	here  = "here"
-	store = "store"
+	sourceLocal = "here"
+	sourceStore = "store"
 )
 
-// change applies a change from a source to an entry and numbers it; l.mu is held.
+// change runs apply, which modifies an entry, and numbers the change if there was one; l.mu is held.
 func (l *List) change(digest uint64, e *entry, now time.Duration, source string, apply func()) {
-	before, refused := e.print(digest), e.left(now) > 0
+	before, refused := e.fingerprint(digest), e.refusedFor(now) > 0
 	apply()
-	after := e.print(digest)
+	after := e.fingerprint(digest)
 	if after == before {
 		return
 	}
-	l.print ^= before ^ after
-	l.last++
-	e.number, e.at = l.last, now
-	if source == here {
-		e.own = l.last
+	l.fingerprint ^= before ^ after
+	l.lastNumber++
+	e.changeNumber, e.changedAt = l.lastNumber, now
+	if source == sourceLocal {
+		e.localNumber = l.lastNumber
 	}
-	if left := e.left(now); !refused && left > 0 {
-		l.log.Info("request refused from now on", "digest", digest, "breaks", e.count(now), "for", left, "source", source)
+	if left := e.refusedFor(now); !refused && left > 0 {
+		l.log.Info("refusing request suspected of crashing replicas", "digest", digest, "breaks", e.countedCrashes(now), "for", left, "source", source)
 	}
 }
 
-// remove drops an entry; l.mu is held.
+// remove deletes an entry and takes it out of the list's fingerprint; l.mu is held.
 func (l *List) remove(digest uint64) {
-	l.print ^= l.entries[digest].print(digest)
+	l.fingerprint ^= l.entries[digest].fingerprint(digest)
 	delete(l.entries, digest)
 }
 
-// forget drops entries that no longer count, and if there are few of these the older half of those that refuse nothing, or of
-// all if there are few of these as well; l.mu is held.
-func (l *List) forget(now time.Duration) {
+// evict removes entries that have not changed within the retention time. If the list stays more than three quarters full it
+// removes the older half of the entries that refuse nothing, and if that is not enough the older half of all; l.mu is held.
+func (l *List) evict(now time.Duration) {
 	for digest, e := range l.entries {
-		if now-e.at > keepFor {
+		if now-e.changedAt > retention {
 			l.remove(digest)
 		}
 	}
-	l.forgetOlder(func(e *entry) bool { return e.left(now) <= 0 })
-	l.forgetOlder(func(*entry) bool { return true })
+	l.evictOldest(func(e *entry) bool { return e.refusedFor(now) <= 0 })
+	l.evictOldest(func(*entry) bool { return true })
 }
 
-// forgetOlder drops the older half of the entries that are not kept, if the list is too full; l.mu is held.
-func (l *List) forgetOlder(isSpare func(e *entry) bool) {
+// evictOldest removes the older half of the entries for which isEvictable is true, if the list is more than three quarters
+// full; l.mu is held.
+func (l *List) evictOldest(isEvictable func(e *entry) bool) {
 	if len(l.entries) <= maxEntries*3/4 {
 		return
 	}
-	var spare []uint64
+	var evictable []uint64
 	for digest, e := range l.entries {
-		if isSpare(e) {
-			spare = append(spare, digest)
+		if isEvictable(e) {
+			evictable = append(evictable, digest)
 		}
 	}
-	slices.SortFunc(spare, func(a, b uint64) int { return cmp.Compare(l.entries[a].at, l.entries[b].at) })
-	for _, digest := range spare[:len(spare)/2] {
+	slices.SortFunc(evictable, func(a, b uint64) int { return cmp.Compare(l.entries[a].changedAt, l.entries[b].changedAt) })
+	for _, digest := range evictable[:len(evictable)/2] {
 		l.remove(digest)
 	}
 }
--- a/internal/serve/hgsuspect/list_test.go
+++ b/internal/serve/hgsuspect/list_test.go
@@ -22,10 +22,10 @@
 		do      func(l *hgsuspect.List, c *clock)
 		refused bool
 	}{
-		"two breaks": {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(1)) }, false},
-		"three":      {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(1)); l.Broke(request(1)) }, true},
-		"of others":  {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(2)); l.Broke(request(3)) }, false},
-		"cleared": {func(l *hgsuspect.List, _ *clock) {
+		"two crashes":           {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(1)) }, false},
+		"three crashes":         {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(1)); l.Broke(request(1)) }, true},
+		"of different requests": {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(2)); l.Broke(request(3)) }, false},
+		"cleared by a completed run": {func(l *hgsuspect.List, _ *clock) {
 			l.Broke(request(1))
 			l.Broke(request(1))
 			l.Ended(request(1))
@@ -43,13 +43,13 @@
 			c.now += 2 * time.Hour
 			l.Broke(request(1))
 		}, false},
-		"a try after a minute": {func(l *hgsuspect.List, c *clock) {
+		"retry after the refusal has expired": {func(l *hgsuspect.List, c *clock) {
 			l.Broke(request(1))
 			l.Broke(request(1))
 			l.Broke(request(1))
 			c.now += 2 * time.Minute
 		}, false},
-		"no second one soon": {func(l *hgsuspect.List, c *clock) {
+		"longer refusal after a fourth crash": {func(l *hgsuspect.List, c *clock) {
 			l.Broke(request(1))
 			l.Broke(request(1))
 			l.Broke(request(1))
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestFullListKeepsRefusedRequests has a caller break many distinct requests off, once each.
+// Eviction from a full list must not drop refused requests: here a caller sends many different requests that crash a replica
+// once each.
 func TestFullListKeepsRefusedRequests(t *testing.T) {
 	c := &clock{now: time.Minute}
 	l := hgsuspect.NewList(c, hglog.Discard())
@@ -86,7 +87,7 @@
 	}
 	for n := range uint64(refused) {
 		if _, is := l.Refused(request(n)); !is {
-			t.Fatalf("request %d is forgotten", n)
+			t.Fatalf("refused request %d was evicted", n)
 		}
 	}
 	if n := l.Len(); n > 10_000 {
@@ -94,25 +95,25 @@
 	}
 }
 
-// request returns one of several requests, of callers and for services of their own.
+// request returns request n, which differs from all others in content, caller and service.
 func request(n uint64) hgsuspect.Request {
 	return hgsuspect.Request{Content: n, Caller: 1000 + n, Service: fmt.Sprint(n)}
 }
 
-// A request that is served all the while is told to peers when it breaks a replica off, not with each run.
+// A request that keeps completing after a crash must not cause a record to peers with each completed run.
 func TestServedRequestIsNotToldWithEachRun(t *testing.T) {
 	c := &clock{now: time.Minute}
 	l := hgsuspect.NewList(c, hglog.Discard())
 	l.Broke(request(1))
-	told := 0
+	sentRecords := 0
 	for range 100 {
 		c.now += time.Second
 		l.Ended(request(1))
 		offer := l.Offer("peer")
-		told += len(offer.Records)
+		sentRecords += len(offer.Records)
 		l.Take("peer", hgsuspect.Exchange{Taken: offer.Now})
 	}
-	if told > 2 {
-		t.Errorf("%d records are told, want those of content and caller", told)
+	if sentRecords > 2 {
+		t.Errorf("%d records sent, want those of content and caller", sentRecords)
 	}
 }
--- a/internal/serve/hgsuspect/request.go
+++ b/internal/serve/hgsuspect/request.go
@@ -2,15 +2,15 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Request tells a request from others when its caller sends it again.
+// Request identifies a request, so that it is recognized when its caller or another one sends it again.
 type Request struct {
-	// Content is a digest of all that goes to the replica, and Caller one of that and of who sends it.
+	// Content is a digest of method, URI, object and body. Caller is a digest of these and of the identity of the caller.
 	Content, Caller uint64
-	// Service is what runs it.
+	// Service is the service that runs the request.
 	Service string
 }
 
-// NewRequest returns the request of a caller with a method, a URI, an object and a body.
+// NewRequest returns the identity of a request. caller identifies who sends it, by program or address.
 func NewRequest(service, caller, method, uri, object string, body []byte) Request {
 	d := xxhash.New()
 	write := func(part []byte) {
@@ -26,5 +26,5 @@
 	return r
 }
 
-// digests returns the digests under which the request counts.
+// digests returns the digests under which the request is on the list.
 func (r Request) digests() []uint64 { return []uint64{r.Content, r.Caller} }
--- a/internal/serve/hgsuspect/row.go
+++ b/internal/serve/hgsuspect/row.go
@@ -6,50 +6,50 @@
 	"github.com/samber/lo"
 )
 
-// Row is a durable record; its times are in Unix milliseconds.
+// Row is the stored form of a Record; its times are in Unix milliseconds.
 type Row struct {
 	Digest uint64     `json:"digest"`
-	Breaks []RowBreak `json:"breaks"`
+	Breaks []RowCrash `json:"breaks"`
 	Proof  RowProof   `json:"proof"`
 }
 
-// RowBreak is a break of a row.
-type RowBreak struct {
+// RowCrash is the stored form of a Crash.
+type RowCrash struct {
 	ID uint64 `json:"id"`
 	At int64  `json:"at"`
-	// Excused says that the break is not held against the request.
+	// Excused says that the crash does not count against the request, because the service was failing.
 	Excused bool `json:"excused,omitempty"`
 }
 
-// RowProof is the proof of a row; Seq is 0 if there is none.
+// RowProof is the stored form of a Proof; Seq is 0 if there is none.
 type RowProof struct {
 	Seq uint64 `json:"seq"`
 	ID  uint64 `json:"id"`
 	At  int64  `json:"at"`
 }
 
-// RowOf returns the row of a record at a time of day.
+// RowOf converts a record to a row; now is the wall-clock time at which the ages of the record hold.
 func RowOf(r Record, now time.Time) Row {
 	at := func(age time.Duration) int64 { return now.Add(-age).UnixMilli() }
 	return Row{
 		Digest: r.Digest,
-		Breaks: lo.Map(r.Breaks, func(b Break, _ int) RowBreak { return RowBreak{ID: b.ID, At: at(b.Age), Excused: b.Excused} }),
+		Breaks: lo.Map(r.Breaks, func(c Crash, _ int) RowCrash { return RowCrash{ID: c.ID, At: at(c.Age), Excused: c.Excused} }),
 		Proof:  RowProof{Seq: r.Proof.Seq, ID: r.Proof.ID, At: at(r.Proof.Age)},
 	}
 }
 
-// Record returns what the row says at a time of day; what a clock puts into the future is new.
+// Record converts a row to a record with ages as of now. Times in the future, from a VM with a different clock, count as now.
 func (r Row) Record(now time.Time) Record {
 	age := func(at int64) time.Duration { return max(now.Sub(time.UnixMilli(at)), 0) }
 	return Record{
 		Digest: r.Digest,
-		Breaks: lo.Map(r.Breaks, func(b RowBreak, _ int) Break { return Break{ID: b.ID, Age: age(b.At), Excused: b.Excused} }),
+		Breaks: lo.Map(r.Breaks, func(c RowCrash, _ int) Crash { return Crash{ID: c.ID, Age: age(c.At), Excused: c.Excused} }),
 		Proof:  Proof{Seq: r.Proof.Seq, ID: r.Proof.ID, Age: age(r.Proof.At)},
 	}
 }
 
-// IsOld says whether the row counts no longer.
+// IsOld reports whether the last crash or proof of the row is older than the retention time, so that the row can be removed.
 func (r Row) IsOld(now time.Time) bool {
-	newest := lo.Max(append(lo.Map(r.Breaks, func(b RowBreak, _ int) int64 { return b.At }), r.Proof.At))
-	return now.Sub(time.UnixMilli(newest)) > keepFor
+	newest := lo.Max(append(lo.Map(r.Breaks, func(c RowCrash, _ int) int64 { return c.At }), r.Proof.At))
+	return now.Sub(time.UnixMilli(newest)) > retention
 }
--- a/internal/serve/hgsuspect/saved.go
+++ b/internal/serve/hgsuspect/saved.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// savedBreaks is the number of breaks from which on a request is worth a row: most never get a second one.
-const savedBreaks = 2
+// minCrashesSaved is the number of crashes from which on a request is stored; most requests never have a second crash.
+const minCrashesSaved = 2
 
-// Unsaved returns records that are to be made durable, of requests that broke replicas here: those that others may not know of
-// after a loss of all lists. A list that is apart from most others has all of its own saved.
-func (l *List) Unsaved(isApart bool, most int) (records []Record) {
+// Unsaved returns at most limit records to store, so that they outlive a simultaneous loss of all lists. They are those with
+// changes made at this VM that have at least minCrashesSaved crashes, or an outdated row. If the VM is isolated from most
+// peers, all with changes made at this VM are included, as no other list may have them.
+func (l *List) Unsaved(isIsolated bool, limit int) (records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
 	for digest, e := range l.entries {
-		if len(records) == most {
+		if len(records) == limit {
 			break
 		}
-		if e.own > 0 && e.saved != e.print(digest) && (e.saved != 0 || isApart || e.count(now) >= savedBreaks) {
+		if e.localNumber > 0 && e.savedFingerprint != e.fingerprint(digest) && (e.savedFingerprint != 0 || isIsolated || e.countedCrashes(now) >= minCrashesSaved) {
 			records = append(records, e.record(digest, now))
 		}
 	}
 	return records
 }
 
-// Saved tells that records are durable.
+// Saved marks records as stored.
 func (l *List) Saved(records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
 	for _, r := range records {
-		// The entry may have changed meanwhile; then it is saved once more.
+		// If the entry has changed meanwhile, its fingerprint differs and Unsaved returns it again.
 		if e, ok := l.entries[r.Digest]; ok {
-			e.saved = r.print(now)
+			e.savedFingerprint = r.fingerprint(now)
 		}
 	}
 }
 
-// Load takes over durable records.
+// Load merges stored records into the list.
 func (l *List) Load(records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
 	for _, r := range records {
-		l.mergeOne(store, r, now).saved = r.print(now)
+		l.mergeRecord(sourceStore, r, now).savedFingerprint = r.fingerprint(now)
 	}
 }
 
-// print returns the fingerprint of an entry that says just what the record does.
-func (r Record) print(now time.Duration) uint64 {
+// fingerprint returns the fingerprint of an entry with just the contents of the record.
+func (r Record) fingerprint(now time.Duration) uint64 {
 	var e entry
 	e.merge(r, now)
-	return e.print(r.Digest)
+	return e.fingerprint(r.Digest)
 }
--- a/internal/serve/hgsuspect/unanswered.go
+++ b/internal/serve/hgsuspect/unanswered.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// unansweredFor is how long after a run without an answer the end of its replica counts as a break: a registration
-	// lapses some seconds after the replica has fallen silent.
-	unansweredFor = 10 * time.Second
-	// maxUnanswered bounds the runs that are kept of a replica; the oldest go first.
+	// unansweredMaxAge is how long after a run without a response the end of its replica counts as a crash: the registration of
+	// a replica expires only some seconds after the replica has stopped responding.
+	unansweredMaxAge = 10 * time.Second
+	// maxUnanswered bounds the runs that are kept per replica; the oldest are dropped first.
 	maxUnanswered = 64
 )
 
-// unanswered is a run whose time was over, or whose caller left, before its replica said anything.
+// unanswered is a run whose deadline passed, or whose caller disconnected, before the replica's response was complete.
 type unanswered struct {
 	request Request
 	at      time.Duration
 }
 
-// Unanswered tells of a run without an answer, which counts as a break if the replica turns out to have ended.
+// Unanswered records a run without a response. It counts as a crash if the replica turns out to have ended.
 func (l *List) Unanswered(r Request, replica string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,13 +29,14 @@
 	l.unanswered[replica] = lo.Subset(runs, -maxUnanswered, maxUnanswered)
 }
 
-// TakeUnanswered returns the requests whose last runs at a replica that has ended had no answer.
+// TakeUnanswered removes and returns the requests that had no response from a replica, which has ended, in the last
+// unansweredMaxAge.
 func (l *List) TakeUnanswered(replica string) (requests []Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
 	for _, u := range l.unanswered[replica] {
-		if now-u.at < unansweredFor {
+		if now-u.at < unansweredMaxAge {
 			requests = append(requests, u.request)
 		}
 	}
@@ -43,10 +44,10 @@
 	return requests
 }
 
-// ForgetUnanswered drops runs that count no longer.
+// ForgetUnanswered drops the runs of replicas whose last run without a response is older than unansweredMaxAge.
 func (l *List) ForgetUnanswered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
-	maps.DeleteFunc(l.unanswered, func(_ string, runs []unanswered) bool { return now-runs[len(runs)-1].at >= unansweredFor })
+	maps.DeleteFunc(l.unanswered, func(_ string, runs []unanswered) bool { return now-runs[len(runs)-1].at >= unansweredMaxAge })
 }
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -103,9 +103,9 @@
 red hedge TestCommitSentAgain internal/state/hghedge \
   internal/state/hghedge/table.go 's/maxSends = 4/maxSends = 1/'
 red crash TestCrashingRequest internal/proof/hgsite \
-  internal/serve/hgsuspect/list.go 's/maxBreaks = 3/maxBreaks = 1000/'
+  internal/serve/hgsuspect/list.go 's/maxCrashes = 3/maxCrashes = 1000/'
 red crashExchange TestFleetLearnsOfCrashingRequest internal/peer/hgpeer \
-  internal/serve/hgsuspect/exchange.go 's/if offer\.Print != l\.print \{/if false {/'
+  internal/serve/hgsuspect/exchange.go 's/if offer\.Print != l\.fingerprint \{/if false {/'
 red crashRows TestCrashingRequestOverTotalLoss internal/proof/hgsite \
   internal/operate/hgedge/suspect.go 's/s\.Load\(records\)/_ = records/'
 red crashCaller TestInnocentsBesideCrashingRequestAreServed internal/proof/hgsite \
