--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -84,7 +84,7 @@
 red entryHead TestReplicaFaults internal/proof/hgsite \
   internal/serve/hgentry/stream.go 's/if err := x\.copyEvents\(s, t\)/x.copyHead(t.resp)\n\tif err := x.copyEvents(s, t)/'
 red entryStranger TestReplicaFaults internal/proof/hgsite \
-  internal/serve/hgentry/send.go 's/strange := /strange := false \&\& /'
+  internal/serve/hgentry/send.go 's/mismatched := /mismatched := false \&\& /'
 red entryForged TestForgedHeaders internal/proof/hgsite \
   platform/request.go 's/h\.Del\(name\)/_ = name/'
 red entryStop TestGracefulStop internal/proof/hgsite \
@@ -103,15 +103,15 @@
 red hedge TestCommitSentAgain internal/state/hghedge \
   internal/state/hghedge/table.go 's/maxSends = 4/maxSends = 1/'
 red crash TestCrashingRequest internal/proof/hgsite \
-  internal/serve/hgsuspect/list.go 's/maxBreaks = 3/maxBreaks = 1000/'
+  internal/serve/hgsuspect/list.go 's/maxCrashes = 3/maxCrashes = 1000/'
 red crashExchange TestFleetLearnsOfCrashingRequest internal/peer/hgpeer \
-  internal/serve/hgsuspect/exchange.go 's/if offer\.Print != l\.print \{/if false {/'
+  internal/serve/hgsuspect/exchange.go 's/if offer\.Print != l\.fingerprint \{/if false {/'
 red crashRows TestCrashingRequestOverTotalLoss internal/proof/hgsite \
   internal/operate/hgedge/suspect.go 's/s\.Load\(records\)/_ = records/'
 red crashCaller TestInnocentsBesideCrashingRequestAreServed internal/proof/hgsite \
   internal/serve/hgsuspect/request.go 's/return \[\]uint64\{r\.Content, r\.Caller\}/return []uint64{r.Content}/'
 red crashAgain TestCrashingCopiesUnderWayAreCheckedAgain internal/proof/hgsite \
-  internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.suspect\); refused/refused := x.entry.suspects.Refused(x.suspect); refused \&\& false/'
+  internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.digests\); refused/refused := x.entry.suspects.Refused(x.digests); refused \&\& false/'
 red crashSilent TestCrashingRequestThatEndsReplicasSilently internal/proof/hgsite \
   internal/operate/hgedge/node.go 's/n\.set\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
 red silentPeers TestMembers internal/peer/hgpeer \
@@ -141,7 +141,7 @@
 red silentStore TestWatchSilentStore internal/state/hgfeed \
   internal/state/hgfeed/hurry.go 's/c\.end != nil && c\.wait > UsualWait/c.end != nil/'
 red endless TestEndlessBytes internal/proof/hgsite \
-  internal/serve/hgmemory/pool.go 's/p\.taken\.Add\(n\) > p\.limit/p.taken.Add(n) < 0/'
+  internal/serve/hgmemory/pool.go 's/p\.reserved\.Add\(n\) > p\.limit/p.reserved.Add(n) < 0/'
 red callerTime TestTimeHandedOn internal/proof/hgsite \
   platform/request.go 's/left\.Milliseconds\(\)/(2 * left).Milliseconds()/'
 red callerLeaves TestCallerLeaves internal/proof/hgsite \
