--- a/internal/operate/hgedge/node.go
+++ b/internal/operate/hgedge/node.go
@@ -62,10 +62,10 @@
 	entry   *hgentry.Entry
 	watches map[string]*hgfeed.Watch
 	// nodeRows and replicaRows are the decoded rows of the watched tables.
-	nodeRows    hgfeed.Rows[hgpeer.Info]
-	replicaRows hgfeed.Rows[hgreplica.Entry]
+	nodeRows    hgfeed.RowCache[hgpeer.Info]
+	replicaRows hgfeed.RowCache[hgreplica.Entry]
 	// suspectRows are those of requests that broke off replicas.
-	suspectRows hgfeed.Rows[hgsuspect.Row]
+	suspectRows hgfeed.RowCache[hgsuspect.Row]
 	figures     *hgfigure.Figures
 	suspects    *suspects
 
--- a/internal/operate/hgedge/peer.go
+++ b/internal/operate/hgedge/peer.go
@@ -72,7 +72,7 @@
 // Table returns the copy of a watched table.
 func (h *peerHandler) Table(q hgpeer.TableRequest) hgfeed.Copy {
 	if w, ok := h.watches[q.Table]; ok {
-		return w.Copy()
+		return w.Snapshot()
 	}
 	return hgfeed.Copy{}
 }
--- a/internal/operate/hgedge/suspect.go
+++ b/internal/operate/hgedge/suspect.go
@@ -145,7 +145,7 @@
 	}
 	now := time.Now()
 	var old []string
-	for key, row := range n.watches[nodeTable].Copy().Rows {
+	for key, row := range n.watches[nodeTable].Snapshot().Rows {
 		if !isSuspect(row) {
 			continue
 		}
--- a/internal/operate/hgedge/watch.go
+++ b/internal/operate/hgedge/watch.go
@@ -21,7 +21,7 @@
 	if n.members.IsIdle() {
 		return longWait
 	}
-	return hgfeed.UsualWait
+	return hgfeed.DefaultWait
 }
 
 // hurryWatches ends the long calls of a node that is not to wait so long any more.
@@ -30,7 +30,7 @@
 		return
 	}
 	for _, w := range n.watches {
-		w.Hurry()
+		w.ShortenWait()
 	}
 }
 
@@ -40,7 +40,7 @@
 	if !ok || changed <= w.Changed() {
 		return
 	}
-	w.Behind(changed)
+	w.NotePeerVersion(changed)
 	if w.Failing() < feedPatience {
 		return
 	}
--- a/internal/state/hgfeed/doc.go
+++ b/internal/state/hgfeed/doc.go
@@ -1,2 +1,3 @@
-// Package hgfeed holds copies of watched tables, kept up by the store or, while that is out of reach, by peers.
+// Package hgfeed keeps local copies of store tables up to date, from the store's change feed or, while the store is
+// unreachable, from copies that peers hold.
 package hgfeed
--- a/internal/state/hgfeed/feed.go
+++ b/internal/state/hgfeed/feed.go
@@ -15,55 +15,63 @@
 )
 
 const (
-	// UsualWait is how long the store may hold a call without changes; a connection that went silent is noticed soon after.
-	UsualWait = time.Second
-	// gatherFor is the pause after changes, in which further ones gather for the next call.
-	gatherFor = 200 * time.Millisecond
-	// retryAfter is the pause after a failure.
+	// DefaultWait is how long the store may hold a poll for which it has no changes. A connection that no longer delivers
+	// anything is noticed soon after this time.
+	DefaultWait = time.Second
+	// coalesceDelay is the pause after an answer of the store, so that changes in quick succession arrive in one poll.
+	coalesceDelay = 200 * time.Millisecond
+	// retryAfter is the pause after a call to the store that failed.
 	retryAfter = 250 * time.Millisecond
-	// lapseTime is the time after an outage in which rows that lapsed during it come back. It counts from the store's
-	// return, so that a row that is removed later is gone within the same time of its removal.
-	lapseTime = 2 * time.Second
-	// lapseTold is how long after that the state is told without a change.
-	lapseTold = 3 * time.Second
+	// outageGrace is the time after an outage of the store in which rows that expired during it may be written again. It
+	// counts from the store's recovery and not from a row's removal, so a row that is removed after the outage is dropped
+	// at most this long after its removal.
+	outageGrace = 2 * time.Second
+	// graceEndWindow is the time after the end of outageGrace in which the table is reported without a change too, so that
+	// consumers drop the rows that were not written again.
+	graceEndWindow = 3 * time.Second
 )
 
-// Copy is the state of a table: rows by key, the version of its newest change, and the version it is as of.
+// Copy is a snapshot of a table.
 type Copy struct {
-	Rows    map[string]hgstore.Row
+	// Rows are the rows by key.
+	Rows map[string]hgstore.Row
+	// Changed is the version of the newest change since the table was listed, or of the list itself; 0 before the first list.
 	Changed uint64
+	// Version is the version of the store up to which all changes to the table are included.
 	Version uint64
 }
 
-// Watch follows one table; it is safe for concurrent use.
+// Watch keeps a copy of one table up to date; it is safe for concurrent use.
 type Watch struct {
 	store hgstore.Feed
 	table string
 	timer hgtimer.Timer
 	log   *slog.Logger
-	// onChange gets each new state, and how much longer rows may be missing because of an outage.
-	onChange func(rows map[string]hgstore.Row, lapse time.Duration)
-
-	mu   sync.Mutex
-	copy Copy
-	// fresh is when the store last confirmed the copy, and failing since when it has not answered; 0 if it does.
-	fresh, failing time.Duration
-	// regained is when the store was last reached again.
-	regained time.Duration
-	listed   bool
-	// wait is how long the store may hold a call without changes.
+	// onChange is called with all rows after each change, and with how much longer missing rows may be written again
+	// because they expired during an outage of the store; 0 if there is no such time left.
+	onChange func(rows map[string]hgstore.Row, grace time.Duration)
+
+	mu       sync.Mutex
+	snapshot Copy
+	// confirmedAt is when the store last answered, and failingSince when it began to fail; 0 while it answers.
+	confirmedAt, failingSince time.Duration
+	// recoveredAt is when the store last answered again after an outage; 0 if there was none.
+	recoveredAt time.Duration
+	// listed says that the table was listed since the last failure, so that polls for changes can go on from there.
+	listed bool
+	// wait returns how long the store may hold a poll for which it has no changes.
 	wait func() time.Duration
-	call waiting
-	// newer is the version of the newest change that a peer knows of, and told when it first said so.
-	newer uint64
-	told  time.Duration
+	poll longPoll
+	// peerVersion is the first version beyond the snapshot's that a peer has reported, and peerVersionAt when it did.
+	peerVersion   uint64
+	peerVersionAt time.Duration
 }
 
-// NewWatch returns a watch of a table that is not running.
-func NewWatch(store hgstore.Feed, table string, timer hgtimer.Timer, log *slog.Logger, onChange func(rows map[string]hgstore.Row, lapse time.Duration), opts ...Option) *Watch {
+// NewWatch returns a watch of a table; it does nothing until Run is called.
+func NewWatch(store hgstore.Feed, table string, timer hgtimer.Timer, log *slog.Logger, onChange func(rows map[string]hgstore.Row, grace time.Duration), opts ...Option) *Watch {
 	w := &Watch{
-		store: store, table: table, timer: timer, log: log, onChange: onChange, copy: Copy{Rows: map[string]hgstore.Row{}},
-		wait: func() time.Duration { return UsualWait },
+		store: store, table: table, timer: timer, log: log, onChange: onChange, snapshot: Copy{Rows: map[string]hgstore.Row{}},
+		wait: func() time.Duration { return DefaultWait },
 	}
 	for _, opt := range opts {
 		opt(w)
@@ -71,12 +79,12 @@
 	return w
 }
 
-// Run follows the table until the context ends.
+// Run lists the table and polls for its changes until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := gatherFor
+		pause := coalesceDelay
 		if err := w.step(ctx); err != nil && ctx.Err() == nil {
-			w.failed(err)
+			w.noteFailure(err)
 			pause = retryAfter
 		}
 		select {
@@ -86,147 +94,148 @@
 	}
 }
 
+// step makes one call to the store: a list if there is no base for changes, otherwise a poll for changes.
 func (w *Watch) step(ctx context.Context) error {
 	w.mu.Lock()
-	listed, after := w.listed, w.copy.Version
+	listed, after := w.listed, w.snapshot.Version
 	w.mu.Unlock()
 	if !listed {
 		rows, version, err := w.store.List(ctx, w.table+"//")
 		if err == nil {
-			w.listedRows(rows, version)
+			w.applyList(rows, version)
 		}
 		return err
 	}
-	call, wait, end := w.begin(ctx)
+	pollCtx, wait, end := w.beginPoll(ctx)
 	defer end()
-	changes, version, err := w.store.Changes(call, w.table, after, wait)
-	if err != nil && call.Err() != nil && ctx.Err() == nil {
-		// The call was ended in favour of a new one, which says nothing of the store.
+	changes, version, err := w.store.Changes(pollCtx, w.table, after, wait)
+	if err != nil && pollCtx.Err() != nil && ctx.Err() == nil {
+		// This node cancelled the poll to start a new one; that is no failure of the store.
 		return nil
 	}
 	if errors.Is(err, hgstore.ErrHistoryGone) {
-		w.log.Info("feed history is gone", "table", w.table, "version", after)
+		w.log.Info("change history no longer available; listing the table again", "table", w.table, "version", after)
 		w.mu.Lock()
 		w.listed = false
 		w.mu.Unlock()
 		return nil
 	}
 	if err == nil {
-		w.changed(changes, version)
+		w.applyChanges(changes, version)
 	}
 	return err
 }
 
-func (w *Watch) failed(err error) {
+func (w *Watch) noteFailure(err error) {
 	now := w.timer.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.failing == 0 {
-		w.failing = now
-		w.log.Warn("feed lost", "table", w.table, "version", w.copy.Version, "error", err)
+	if w.failingSince == 0 {
+		w.failingSince = now
+		w.log.Warn("watch of table failed", "table", w.table, "version", w.snapshot.Version, "error", err)
 	}
-	// A feed that failed may have missed the end of its history.
+	// The store may have discarded changes that were not read before the failure, so the table is listed again.
 	w.listed = false
 }
 
-// reached notes an answer of the store; w.mu is held.
-func (w *Watch) reached() {
+// noteSuccess records that the store has answered; w.mu is held.
+func (w *Watch) noteSuccess() {
 	now := w.timer.Now()
-	w.fresh = now
-	if w.failing != 0 {
-		w.log.Info("feed regained", "table", w.table, "after", now-w.failing)
-		w.failing, w.regained = 0, now
+	w.confirmedAt = now
+	if w.failingSince != 0 {
+		w.log.Info("watch of table recovered", "table", w.table, "after", now-w.failingSince)
+		w.failingSince, w.recoveredAt = 0, now
 	}
 }
 
-// lapse returns how much longer missing rows may come back; w.mu is held.
-func (w *Watch) lapse() time.Duration {
-	if w.regained == 0 {
+// graceLeft returns how much of outageGrace is left; w.mu is held.
+func (w *Watch) graceLeft() time.Duration {
+	if w.recoveredAt == 0 {
 		return 0
 	}
-	return max(w.regained+lapseTime-w.timer.Now(), 0)
+	return max(w.recoveredAt+outageGrace-w.timer.Now(), 0)
 }
 
-func (w *Watch) listedRows(rows []hgstore.Row, version uint64) {
+func (w *Watch) applyList(rows []hgstore.Row, version uint64) {
 	w.mu.Lock()
-	w.reached()
+	w.noteSuccess()
 	w.listed = true
 	w.replace(Copy{Rows: lo.KeyBy(rows, func(r hgstore.Row) string { return r.Key }), Changed: version, Version: version})
-	copied, lapse := maps.Clone(w.copy.Rows), w.lapse()
+	copied, grace := maps.Clone(w.snapshot.Rows), w.graceLeft()
 	w.mu.Unlock()
-	w.onChange(copied, lapse)
+	w.onChange(copied, grace)
 }
 
-// replace takes over a state unless it is older; w.mu is held.
+// replace sets the snapshot unless c is older, and says whether it did; w.mu is held.
 func (w *Watch) replace(c Copy) bool {
-	if c.Version < w.copy.Version {
+	if c.Version < w.snapshot.Version {
 		return false
 	}
-	w.copy = c
+	w.snapshot = c
 	return true
 }
 
-func (w *Watch) changed(changes []hgstore.Change, version uint64) {
+func (w *Watch) applyChanges(changes []hgstore.Change, version uint64) {
 	w.mu.Lock()
-	w.reached()
+	w.noteSuccess()
 	for _, c := range changes {
 		if c.Deleted {
-			delete(w.copy.Rows, c.Key)
+			delete(w.snapshot.Rows, c.Key)
 		} else {
-			w.copy.Rows[c.Key] = c.Row
+			w.snapshot.Rows[c.Key] = c.Row
 		}
-		w.copy.Changed = max(w.copy.Changed, c.Version)
+		w.snapshot.Changed = max(w.snapshot.Changed, c.Version)
 	}
-	w.copy.Version = max(w.copy.Version, version)
-	lapse := w.lapse()
-	if len(changes) == 0 && !w.hasLapsed() {
+	w.snapshot.Version = max(w.snapshot.Version, version)
+	grace := w.graceLeft()
+	if len(changes) == 0 && !w.graceJustEnded() {
 		w.mu.Unlock()
 		return
 	}
-	copied := maps.Clone(w.copy.Rows)
+	copied := maps.Clone(w.snapshot.Rows)
 	w.mu.Unlock()
-	w.onChange(copied, lapse)
+	w.onChange(copied, grace)
 }
 
-// hasLapsed says whether rows that were missing after an outage have become gone a moment ago; w.mu is held.
-func (w *Watch) hasLapsed() bool {
-	since := w.timer.Now() - w.regained
-	return w.regained > 0 && since >= lapseTime && since < lapseTime+lapseTold
+// graceJustEnded says whether outageGrace ended less than graceEndWindow ago; w.mu is held.
+func (w *Watch) graceJustEnded() bool {
+	since := w.timer.Now() - w.recoveredAt
+	return w.recoveredAt > 0 && since >= outageGrace && since < outageGrace+graceEndWindow
 }
 
-// Offer takes over a peer's copy if it is newer.
+// Offer replaces the table by a peer's copy if that has a newer change.
 func (w *Watch) Offer(c Copy) {
 	w.mu.Lock()
-	if c.Changed <= w.copy.Changed || !w.replace(Copy{Rows: maps.Clone(c.Rows), Changed: c.Changed, Version: c.Version}) {
+	if c.Changed <= w.snapshot.Changed || !w.replace(Copy{Rows: maps.Clone(c.Rows), Changed: c.Changed, Version: c.Version}) {
 		w.mu.Unlock()
 		return
 	}
-	w.log.Info("table taken from a peer", "table", w.table, "version", c.Version)
-	copied := maps.Clone(w.copy.Rows)
+	w.log.Info("table replaced by newer copy from a peer", "table", w.table, "version", c.Version)
+	copied := maps.Clone(w.snapshot.Rows)
 	w.mu.Unlock()
 	w.onChange(copied, 0)
 }
 
-// Copy returns the present state.
-func (w *Watch) Copy() Copy {
+// Snapshot returns the table as it is now; the map is the caller's own.
+func (w *Watch) Snapshot() Copy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return Copy{Rows: maps.Clone(w.copy.Rows), Changed: w.copy.Changed, Version: w.copy.Version}
+	return Copy{Rows: maps.Clone(w.snapshot.Rows), Changed: w.snapshot.Changed, Version: w.snapshot.Version}
 }
 
-// Changed returns the version of the newest change.
+// Changed returns the version of the newest change to the table, as in Copy; 0 if the table has not been read yet.
 func (w *Watch) Changed() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.copy.Changed
+	return w.snapshot.Changed
 }
 
-// Failing returns for how long the store has not answered; 0 if it does.
+// Failing returns the time since the store began to fail; 0 while it answers.
 func (w *Watch) Failing() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.failing == 0 {
+	if w.failingSince == 0 {
 		return 0
 	}
-	return w.timer.Now() - w.failing
+	return w.timer.Now() - w.failingSince
 }
--- a/internal/state/hgfeed/feed_test.go
+++ b/internal/state/hgfeed/feed_test.go
@@ -17,24 +17,24 @@
 	"hyssopgrade/internal/state/hgfeed"
 )
 
-// view is what a watch has told last.
+// view holds what a watch last reported.
 type view struct {
 	mu    sync.Mutex
 	keys  []string
-	lapse time.Duration
+	grace time.Duration
 }
 
-func (v *view) change(rows map[string]hgstore.Row, lapse time.Duration) {
+func (v *view) change(rows map[string]hgstore.Row, grace time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.keys, v.lapse = lo.Keys(rows), lapse
+	v.keys, v.grace = lo.Keys(rows), grace
 	sort.Strings(v.keys)
 }
 
 func (v *view) get() ([]string, time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.keys, v.lapse
+	return v.keys, v.grace
 }
 
 func commit(t *testing.T, m *hgstore.Memory, txn hgstore.Txn) {
@@ -48,7 +48,7 @@
 	return hgstore.Txn{Puts: []hgstore.Put{{Key: key, Value: []byte("v")}}}
 }
 
-// waitFor is the time in which a change must be known; replicas that leave must be out within two seconds.
+// waitFor is the time within which a change must be reported: a leaving replica must get no requests after two seconds.
 const waitFor = 1500 * time.Millisecond
 
 func wantKeys(t *testing.T, v *view, want ...string) {
@@ -93,14 +93,15 @@
 	wantKeys(t, v, "t//a", "t//b")
 	commit(t, m, hgstore.Txn{Deletes: []string{"t//a"}})
 	wantKeys(t, v, "t//b")
-	// A change within a gap of the history is found by a new list.
+	// A change that the history no longer holds is found by listing the table again.
 	m.DropHistory()
 	commit(t, m, put("t//c"))
 	m.DropHistory()
 	wantKeys(t, v, "t//b", "t//c")
 }
 
-// After an outage missing rows are told as such, until they had the time to come back.
+// Rows that expire during an outage are written again only after it. Consumers must not drop them at once, so the watch
+// reports how much longer missing rows may come back.
 func TestWatchOutage(t *testing.T) {
 	m := hgstore.NewMemory()
 	commit(t, m, put("t//a"))
@@ -109,20 +110,20 @@
 	m.SetFault(hgstore.Fault{Down: true})
 	time.Sleep(waitFor)
 	if w.Failing() == 0 {
-		t.Error("the outage is not noticed")
+		t.Error("Failing is 0 during an outage of the store")
 	}
 	m.SetFault(hgstore.Fault{})
 	commit(t, m, hgstore.Txn{Deletes: []string{"t//a"}, Puts: []hgstore.Put{{Key: "t//b"}}})
 	wantKeys(t, v, "t//b")
-	if _, lapse := v.get(); lapse == 0 {
-		t.Error("a row that lapsed in the outage is gone for good")
+	if _, grace := v.get(); grace == 0 {
+		t.Error("no grace time for a row that expired during the outage")
 	}
-	// A row that is removed after the outage is gone two seconds after the outage at the latest, not two after that.
+	// The grace time ends two seconds after the outage, not two seconds after a row's removal.
 	time.Sleep(time.Second)
 	commit(t, m, hgstore.Txn{Deletes: []string{"t//b"}})
 	wantKeys(t, v)
-	if _, lapse := v.get(); lapse > 1200*time.Millisecond {
-		t.Errorf("a row that was removed a second after the outage stays for %v", lapse)
+	if _, grace := v.get(); grace > 1200*time.Millisecond {
+		t.Errorf("grace time of a row that was removed a second after the outage: %v, want at most 1.2 s", grace)
 	}
 }
 
@@ -149,25 +150,25 @@
 	}
 }
 
-// A table that does not change costs nothing but the calls that wait for changes.
+// A table without changes is reported once; polls that return nothing must not report it again.
 func TestWatchQuiet(t *testing.T) {
 	m := hgstore.NewMemory()
 	commit(t, m, put("t//a"))
-	var told atomic.Int64
+	var reports atomic.Int64
 	timer := hgtimer.NewService()
 	defer timer.Close()
-	w := hgfeed.NewWatch(m, "t", timer, hglog.Discard(), func(map[string]hgstore.Row, time.Duration) { told.Add(1) })
+	w := hgfeed.NewWatch(m, "t", timer, hglog.Discard(), func(map[string]hgstore.Row, time.Duration) { reports.Add(1) })
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	w.Run(ctx)
-	if n := told.Load(); n != 1 {
-		t.Errorf("the state was told %d times, want once", n)
+	if n := reports.Load(); n != 1 {
+		t.Errorf("the table was reported %d times, want once", n)
 	}
 }
 
-// Only rows of another version are decoded again.
+// Only rows whose version has changed are decoded again.
 func TestRows(t *testing.T) {
-	var rows hgfeed.Rows[string]
+	var rows hgfeed.RowCache[string]
 	decoded := 0
 	decode := func(row hgstore.Row) (string, bool) {
 		decoded++
@@ -198,10 +199,10 @@
 	}
 }
 
-// silentTimeout is how long the client of a silent store waits beyond the time for which the store may hold a call.
+// silentTimeout is how long the client of an unresponsive store waits beyond the time for which the store may hold a poll.
 const silentTimeout = 300 * time.Millisecond
 
-// silentStore is a store whose calls that wait for changes get no answer while it is silent.
+// silentStore is a store that answers no polls for changes while silent is set.
 type silentStore struct {
 	*hgstore.Memory
 	silent atomic.Bool
@@ -217,7 +218,8 @@
 	return s.Memory.Changes(ctx, table, after, wait)
 }
 
-// A watch whose call waits on a connection that has fallen silent asks again when a peer knows of a newer version.
+// A poll on a connection that no longer delivers anything would last for its whole extended wait. The watch must cancel it
+// and poll again once a peer has reported a newer version, and not count that as a failure of the store.
 func TestWatchBehind(t *testing.T) {
 	s := &silentStore{Memory: hgstore.NewMemory()}
 	commit(t, s.Memory, put("t//a"))
@@ -235,16 +237,17 @@
 	s.silent.Store(false)
 	commit(t, s.Memory, put("t//b"))
 	for range 4 {
-		w.Behind(w.Copy().Version + 1)
+		w.NotePeerVersion(w.Snapshot().Version + 1)
 		time.Sleep(200 * time.Millisecond)
 	}
 	wantKeys(t, v, "t//a", "t//b")
 	if w.Failing() > 0 {
-		t.Error("a call that was ended counts as a failure of the store")
+		t.Error("a cancelled poll counts as a failure of the store")
 	}
 }
 
-// A store that gives no answers counts as failing, whatever peers know meanwhile, so that their copies are used.
+// A node takes the tables from peers only while its watch is failing. Cancelling polls because peers know newer versions
+// must not keep the watch of a store that answers nothing from being counted as failing.
 func TestWatchSilentStore(t *testing.T) {
 	tests := map[string]hgfeed.Option{
 		"usual wait": func(*hgfeed.Watch) {},
@@ -264,15 +267,15 @@
 			defer cancel()
 			go w.Run(ctx)
 			wantKeys(t, v, "t//a")
-			// By then a call with the usual wait has failed, after one with a long wait was ended.
+			// Within this time the extended poll is cancelled and the next one, with the default wait, times out.
 			for end := time.Now().Add(2500 * time.Millisecond); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				w.Behind(w.Copy().Version + 1)
-				w.Hurry()
+				w.NotePeerVersion(w.Snapshot().Version + 1)
+				w.ShortenWait()
 				if w.Failing() > 0 {
 					return
 				}
 			}
-			t.Error("a silent store is not noticed")
+			t.Error("Failing is 0 although the store answers no polls")
 		})
 	}
 }
--- a/internal/state/hgfeed/rows.go
+++ b/internal/state/hgfeed/rows.go
@@ -6,9 +6,9 @@
 	"hyssopgrade/hgstore"
 )
 
-// Rows keeps what the rows of a table say, so that a change of one row costs no decoding of the others. The zero value
-// is ready; it is safe for concurrent use.
-type Rows[T any] struct {
+// RowCache caches the decoded values of a table's rows by version, so that a change of one row costs no decoding of the
+// others. The zero value is ready to use; it is safe for concurrent use.
+type RowCache[T any] struct {
 	mu      sync.Mutex
 	decoded map[string]decodedRow[T]
 }
@@ -19,13 +19,14 @@
 	ok      bool
 }
 
-// Decode returns what all rows say but those for which decode, which is called for rows of another version, is not ok.
-func (d *Rows[T]) Decode(rows map[string]hgstore.Row, decode func(row hgstore.Row) (value T, ok bool)) (values []T) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// Decode returns the values of the given rows, in no order, and forgets all others. It calls decode for rows that are new
+// or have another version than before; rows for which decode returns false are left out.
+func (c *RowCache[T]) Decode(rows map[string]hgstore.Row, decode func(row hgstore.Row) (value T, ok bool)) (values []T) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	decoded := make(map[string]decodedRow[T], len(rows))
 	for key, row := range rows {
-		r, known := d.decoded[key]
+		r, known := c.decoded[key]
 		if !known || r.version != row.Version {
 			r.version = row.Version
 			r.value, r.ok = decode(row)
@@ -35,6 +36,6 @@
 			values = append(values, r.value)
 		}
 	}
-	d.decoded = decoded
+	c.decoded = decoded
 	return values
 }
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -119,7 +119,7 @@
 red saysLeaving TestLeavingReplicaSaysSoInAnswers internal/proof/hgsite \
   internal/serve/hgreplica/leaving.go 's/r\.saidLeaving = true/r.saidLeaving = false/'
 red lapse TestWatchOutage internal/state/hgfeed \
-  internal/state/hgfeed/feed.go 's/return max\(w\.regained\+lapseTime-w\.timer\.Now\(\), 0\)/return lapseTime/'
+  internal/state/hgfeed/feed.go 's/return max\(w\.recoveredAt\+outageGrace-w\.timer\.Now\(\), 0\)/return outageGrace/'
 red full TestNewProgramsWait internal/proof/hgsite \
   internal/serve/hgplacer/placer.go 's/return load >= FullFor(Others|Urgent)/return load > 1000/g'
 red placerWindow TestPlaceWaits internal/serve/hgplacer \
@@ -137,9 +137,9 @@
 red hearsay TestFleet internal/peer/hgpeer \
   internal/peer/hgpeer/claim.go 's/p\.info\.Domain != m\.self\.Domain && isClaimed\(p\.info\.Name, farSources\)/isClaimed(p.info.Name, m.freshSources(now))/'
 red behind TestWatchBehind internal/state/hgfeed \
-  internal/state/hgfeed/hurry.go 's/now-w\.told > behindFor/false/'
+  internal/state/hgfeed/poll.go 's/now-w\.peerVersionAt > maxLag/false/'
 red silentStore TestWatchSilentStore internal/state/hgfeed \
-  internal/state/hgfeed/hurry.go 's/c\.end != nil && c\.wait > UsualWait/c.end != nil/'
+  internal/state/hgfeed/poll.go 's/p\.cancel != nil && p\.wait > DefaultWait/p.cancel != nil/'
 red endless TestEndlessBytes internal/proof/hgsite \
   internal/serve/hgmemory/pool.go 's/p\.taken\.Add\(n\) > p\.limit/p.taken.Add(n) < 0/'
 red callerTime TestTimeHandedOn internal/proof/hgsite \
