--- a/internal/state/hghedge/doc.go
+++ b/internal/state/hghedge/doc.go
@@ -1,2 +1,3 @@
-// Package hghedge sends an operation of a table again when its answer does not come in the usual time.
+// Package hghedge wraps a store table with hedged requests: an operation whose answer is late is sent again, and the first
+// answer counts.
 package hghedge
--- a/internal/state/hghedge/table.go
+++ b/internal/state/hghedge/table.go
@@ -11,63 +11,68 @@
 )
 
 const (
-	// minWait is the least time after which an operation is sent again; a write takes about 10 ms.
-	minWait = 60 * time.Millisecond
-	// usualFactor is that time as a multiple of what operations took lately, so that a slow store gets no more calls.
-	usualFactor = 3
-	// usualWeight is the weight of a new observation in what operations take.
-	usualWeight = 0.2
-	// maxSends bounds how often one operation is sent.
+	// minHedgeDelay is the least time after which an operation without an answer is sent again; a write takes about 10 ms.
+	minHedgeDelay = 60 * time.Millisecond
+	// latencyFactor is that time as a multiple of the average latency, so that a slow store does not get more calls.
+	latencyFactor = 3
+	// latencyWeight is the weight of a new latency in the moving average.
+	latencyWeight = 0.2
+	// maxSends bounds how often one operation is sent, the first send included.
 	maxSends = 4
-	// maxErrors bounds the errors after which an operation is sent again: a store that fails at once does so for long.
+	// maxErrors bounds the errors after which an operation is sent again. A store that returns an error at once usually
+	// goes on to do so.
 	maxErrors = 1
-	// errorPause is the time between an error and the next send.
-	errorPause = 20 * time.Millisecond
+	// errorRetryDelay is the time between an error and the next attempt.
+	errorRetryDelay = 20 * time.Millisecond
 )
 
 // Table is a table whose operations are sent again when an answer is late or lost. A transaction must therefore be
-// harmless when it is applied twice, or demand versions; if one without an answer was applied, the next try may conflict.
+// idempotent or carry conditions on versions. One with conditions may return a conflict although it was applied: by an
+// earlier attempt whose answer was lost.
 type Table struct {
 	inner hgstore.Table
-	// usual is what operations took lately.
-	usual atomic.Int64
+	// latency is the moving average of the time that operations take, in nanoseconds.
+	latency atomic.Int64
 }
 
-// NewTable returns a table over another one.
+// NewTable returns a table that sends its operations to inner.
 func NewTable(inner hgstore.Table) *Table { return &Table{inner: inner} }
 
-// Get returns one row.
+// Get returns one row, or a trace.NotFound error.
 func (t *Table) Get(ctx context.Context, key string) (row hgstore.Row, err error) {
 	return hedge(ctx, t, func(ctx context.Context) (hgstore.Row, error) { return t.inner.Get(ctx, key) })
 }
 
-// Scan returns rows in key order.
+// Scan returns up to limit rows with the prefix, in key order, after the key `after`.
 func (t *Table) Scan(ctx context.Context, prefix, after string, limit int) (rows []hgstore.Row, err error) {
 	return hedge(ctx, t, func(ctx context.Context) ([]hgstore.Row, error) { return t.inner.Scan(ctx, prefix, after, limit) })
 }
 
-// Commit applies a transaction.
+// Commit applies a transaction, possibly more than once, and returns the version of the rows it wrote.
 func (t *Table) Commit(ctx context.Context, txn hgstore.Txn) (version uint64, err error) {
 	return hedge(ctx, t, func(ctx context.Context) (uint64, error) { return t.inner.Commit(ctx, txn) })
 }
 
-// decided says whether an error is an answer of the store.
-func decided(err error) bool {
+// isFinal says whether err is the store's answer to an operation: success, a conflict or a missing row. Any other error
+// leaves open whether the operation was applied.
+func isFinal(err error) bool {
 	_, conflict := hgstore.IsConflict(err)
 	return err == nil || conflict || trace.IsNotFound(err)
 }
 
-// wait returns the time after which an operation is sent again, longer after each send.
-func (t *Table) wait(sends int) time.Duration {
-	return max(minWait, usualFactor*time.Duration(t.usual.Load())) << (sends - 1)
+// hedgeDelay returns how long to wait for an answer after a number of sends before the next one; it doubles with each send.
+func (t *Table) hedgeDelay(sends int) time.Duration {
+	return max(minHedgeDelay, latencyFactor*time.Duration(t.latency.Load())) << (sends - 1)
 }
 
+// observe adds the latency of an operation to the average.
 func (t *Table) observe(took time.Duration) {
-	usual := t.usual.Load()
-	t.usual.Store(usual + int64(usualWeight*float64(int64(took)-usual)))
+	latency := t.latency.Load()
+	t.latency.Store(latency + int64(latencyWeight*float64(int64(took)-latency)))
 }
 
-// hedge runs an operation, again when it takes long or fails, and returns the first answer of the store.
+// hedge runs an operation, starts it again when its answer is late or an error, and returns the first final answer. The
+// other attempts are cancelled.
 func hedge[R any](ctx context.Context, t *Table, run func(ctx context.Context) (R, error)) (result R, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -76,41 +81,41 @@
 		err    error
 	}
 	answers := make(chan answer, maxSends)
-	sends, open, errs := 0, 0, 0
+	sends, inFlight, errs := 0, 0, 0
 	send := func() {
 		sends++
-		open++
+		inFlight++
 		began := time.Now()
 		go func() {
 			result, err := run(ctx)
-			if decided(err) {
+			if isFinal(err) {
 				t.observe(time.Since(began))
 			}
 			answers <- answer{result, err}
 		}()
 	}
 	send()
-	next := time.NewTimer(t.wait(sends))
-	defer next.Stop()
+	nextSend := time.NewTimer(t.hedgeDelay(sends))
+	defer nextSend.Stop()
 	for {
 		select {
 		case a := <-answers:
-			open--
-			if decided(a.err) {
+			inFlight--
+			if isFinal(a.err) {
 				return a.result, a.err
 			}
 			err = a.err
 			errs++
 			switch {
 			case errs <= maxErrors && sends < maxSends && ctx.Err() == nil:
-				next.Reset(errorPause)
-			case open == 0:
+				nextSend.Reset(errorRetryDelay)
+			case inFlight == 0:
 				return result, err
 			}
-		case <-next.C:
+		case <-nextSend.C:
 			if sends < maxSends {
 				send()
-				next.Reset(t.wait(sends))
+				nextSend.Reset(t.hedgeDelay(sends))
 			}
 		case <-ctx.Done():
 			return result, ctx.Err()
@@ -118,5 +123,5 @@
 	}
 }
 
-// String names the implementation.
+// String returns the name of this implementation.
 func (t *Table) String() string { return "hedged" }
