--- a/internal/operate/hgedge/directory.go
+++ b/internal/operate/hgedge/directory.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// addressTTL is how long callers keep an answer of the directory, if the platform allows it.
+	// addressTTL is how long callers may cache an answer of the directory, unless the platform's bound is lower.
 	addressTTL = 2 * time.Second
-	// maxAddresses is the most addresses of an answer.
+	// maxAddresses bounds the addresses in one answer of the directory.
 	maxAddresses = 64
 )
 
@@ -37,11 +37,12 @@
 	return mux
 }
 
-// addresses returns where callers of a failure domain connect: to its nodes if more than one of them is ready.
+// addresses returns the public addresses for callers of a failure domain, in random order: those of the domain's own nodes
+// if at least two of them are ready, else those of all ready nodes, in each case without the weak ones (hgpeer.Strong).
 func (n *Node) addresses(domain string) []string {
 	nodes := lo.Filter(append(n.members.Live(), n.members.Self()), func(i hgpeer.Info, _ int) bool { return i.Ready && !i.Stopping })
-	if near := lo.Filter(nodes, func(i hgpeer.Info, _ int) bool { return i.Domain == domain }); len(near) > 1 {
-		nodes = near
+	if sameDomain := lo.Filter(nodes, func(i hgpeer.Info, _ int) bool { return i.Domain == domain }); len(sameDomain) > 1 {
+		nodes = sameDomain
 	}
 	nodes = hgpeer.Strong(nodes)
 	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
@@ -52,11 +53,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc(hgstatus.Path, n.serveStatus)
 	mux.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		n.figures.Set("running", float64(n.entry.Running()))
-		n.figures.Set("programs", float64(n.ledger.Programs()))
-		n.figures.Set("suspects", float64(n.suspects.Len()))
-		if err := n.figures.Write(w); err != nil {
-			n.log.Debug("figures not written", "error", err)
+		n.metrics.Set("running", float64(n.entry.Running()))
+		n.metrics.Set("programs", float64(n.ledger.Programs()))
+		n.metrics.Set("suspects", float64(n.suspects.Len()))
+		if err := n.metrics.Write(w); err != nil {
+			n.log.Debug("cannot write metrics", "error", err)
 		}
 	})
 	return mux
--- a/internal/operate/hgedge/doc.go
+++ b/internal/operate/hgedge/doc.go
@@ -1,2 +1,3 @@
-// Package hgedge composes an entry VM: callers' port, directory, readiness, peers and the copies of the store's tables.
+// Package hgedge assembles the process of an entry VM: the listeners for callers, peers, the directory, readiness and
+// metrics, the heartbeats between entry VMs, and the watches of the store's tables.
 package hgedge
--- a/internal/operate/hgedge/node.go
+++ b/internal/operate/hgedge/node.go
@@ -29,23 +29,24 @@
 )
 
 const (
-	// storeTimeout bounds an operation of the store: its answers take 4 ms, and a few hundred when it is slow.
+	// storeTimeout bounds one operation of the store. Answers usually take 4 ms, and a few hundred when the store is slow.
 	storeTimeout = 900 * time.Millisecond
-	// headerTimeout bounds the time in which a caller sends the head of a request.
+	// headerTimeout bounds the time a client may take to send the header of a request.
 	headerTimeout = 30 * time.Second
-	// idleTimeout is how long connections of callers stay open without a request, longer than any caller reuses them.
+	// idleTimeout is how long connections of callers stay open without a request. It is longer than
+	// any caller reuses an idle connection.
 	idleTimeout = 5 * time.Minute
-	// maxHeaderBytes bounds the head of a request.
+	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 64 << 10
-	// forgetAfter is the least time that silent programs are kept, and forgetFactor that time as a multiple of the
-	// longest time that the desired state keeps turns.
-	forgetAfter  = 2 * time.Minute
-	forgetFactor = 2
-	// answerShare is the part of the VM's memory that answers may take while they are held until they are whole.
-	answerShare = 0.1
+	// minRetention is the least time for which programs without requests are kept, and retentionFactor that time as a
+	// multiple of the longest time for which the desired state retains turns.
+	minRetention    = 2 * time.Minute
+	retentionFactor = 2
+	// bufferShare is the share of the VM's memory for answers that are buffered until they are complete.
+	bufferShare = 0.1
 )
 
-// Node is a running entry VM.
+// Node is the process of an entry VM.
 type Node struct {
 	cfg     hgconfig.Entry
 	log     *slog.Logger
@@ -54,19 +55,20 @@
 	health  health
 	members *hgpeer.Members
 	client  *hgpeer.Client
-	// secure is how connections between nodes are secured, or nil.
-	secure  *tls.Config
-	ledger  *hgledger.Ledger
-	places  *hgpeer.Places
-	set     *hgreplica.Set
-	entry   *hgentry.Entry
+	// tlsConfig secures the connections between nodes; nil if they are not encrypted.
+	tlsConfig *tls.Config
+	ledger    *hgledger.Ledger
+	places    *hgpeer.Places
+	replicas  *hgreplica.Set
+	entry     *hgentry.Entry
+	// watches are the watches of the store's tables, by table.
 	watches map[string]*hgfeed.Watch
-	// nodeRows and replicaRows are the decoded rows of the watched tables.
+	// nodeRows, replicaRows and suspectRows cache the decoded rows of the watched tables; suspectRows are the rows of
+	// nodeTable that describe suspect requests.
 	nodeRows    hgfeed.RowCache[hgpeer.Info]
 	replicaRows hgfeed.RowCache[hgreplica.Entry]
-	// suspectRows are those of requests that broke off replicas.
 	suspectRows hgfeed.RowCache[hgsuspect.Row]
-	figures     *hgfigure.Figures
+	metrics     *hgfigure.Figures
 	suspects    *suspects
 
 	ctx       context.Context
@@ -75,41 +77,42 @@
 	public    *http.Server
 	listeners []net.Listener
 	stopping  atomic.Bool
-	// desiredAt is when the desired state came into force, in nanoseconds of the timer.
+	// desiredAt is when the current desired state took effect, in nanoseconds of the timer.
 	desiredAt atomic.Int64
 }
 
-// inForce returns when the desired state came into force.
-func (n *Node) inForce() time.Duration { return time.Duration(n.desiredAt.Load()) }
+// desiredSince returns when the current desired state took effect, on the clock of the timer.
+func (n *Node) desiredSince() time.Duration { return time.Duration(n.desiredAt.Load()) }
 
-// NewNode returns a node that is not running.
+// NewNode returns a node with its parts; it listens on nothing until Start. An error means that the certificate or keys of
+// the settings cannot be used.
 func NewNode(cfg hgconfig.Entry, log *slog.Logger) (n *Node, err error) {
 	n = &Node{cfg: cfg, log: log, timer: hgtimer.NewService()}
 	if cfg.Keys.Certificate != "" {
-		if n.secure, err = hgpeer.Secure(cfg.Keys.Certificate, cfg.Keys.Key, cfg.Keys.Authority); err != nil {
+		if n.tlsConfig, err = hgpeer.Secure(cfg.Keys.Certificate, cfg.Keys.Key, cfg.Keys.Authority); err != nil {
 			return nil, err
 		}
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	boot := cfg.VM.Name + "/" + uuid.NewString()
 	n.health.timer = n.timer
-	n.store = hgplatform.NewStore(cfg.Store.Address, storeTimeout, n.health.called)
-	n.figures = hgfigure.NewFigures(log)
+	n.store = hgplatform.NewStore(cfg.Store.Address, storeTimeout, n.health.observe)
+	n.metrics = hgfigure.NewFigures(log)
 	n.members = hgpeer.NewMembers(n.timer, hgpeer.Info{
 		Name: cfg.VM.Name, Boot: boot, Peer: cfg.Listen.Peer, Public: cfg.Listen.Public, Domain: cfg.VM.Domain,
 		Power: cfg.VM.CPUShare * cfg.VM.Cores, Started: time.Now().UnixMilli(),
 	}, cfg.VM.Domains...)
-	n.client = hgpeer.NewClient(n.secure)
+	n.client = hgpeer.NewClient(n.tlsConfig)
 	n.ledger = hgledger.NewLedger(boot, hghedge.NewTable(n.store), n.timer, log,
 		hgledger.WithBackup(hgpeer.NewBackup(n.members, n.client)), hgledger.WithComplete(cfg.VM.FirstStart), hgledger.WithMarkers())
-	n.set = hgreplica.NewSet(n.timer, cfg.VM.Domain, newReplicaClient)
+	n.replicas = hgreplica.NewSet(n.timer, cfg.VM.Domain, newReplicaClient)
 	n.suspects = &suspects{List: hgsuspect.NewList(n.timer, log), node: n}
-	n.set.OnEnd(n.suspects.replicaEnded)
+	n.replicas.OnEnd(n.suspects.replicaEnded)
 	programs := hgpeer.NewPrograms(n.ledger, n.members, n.client, log)
-	n.places = hgpeer.NewPlaces(hgplacer.NewPlacer(n.set, n.timer), n.set, n.members, n.client, log)
-	n.entry = hgentry.NewEntry(hgplatform.Dialect{}, programs, n.places, n.set, n.timer, log, n.figures, n.suspects,
-		hgmemory.NewPool(int64(cfg.VM.MemoryMB*(1<<20)*answerShare)))
-	wait := hgfeed.WithWait(n.feedWait)
+	n.places = hgpeer.NewPlaces(hgplacer.NewPlacer(n.replicas, n.timer), n.replicas, n.members, n.client, log)
+	n.entry = hgentry.NewEntry(hgplatform.Dialect{}, programs, n.places, n.replicas, n.timer, log, n.metrics, n.suspects,
+		hgmemory.NewPool(int64(cfg.VM.MemoryMB*(1<<20)*bufferShare)))
+	wait := hgfeed.WithWait(n.watchWait)
 	n.watches = map[string]*hgfeed.Watch{
 		hgplatform.DesiredTable: hgfeed.NewWatch(n.store, hgplatform.DesiredTable, n.timer, log, n.applyDesired, wait),
 		hgplatform.ReplicaTable: hgfeed.NewWatch(n.store, hgplatform.ReplicaTable, n.timer, log, n.applyReplicas, wait),
@@ -118,7 +121,7 @@
 	return n, nil
 }
 
-// Start listens and begins to follow the store and the peers.
+// Start opens all listeners, then starts the watches of the store, the heartbeats and the periodic tasks.
 func (n *Node) Start() (err error) {
 	defer func() { err = trace.Wrap(err, "start") }()
 	if err := n.listen(n.cfg.Listen.Peer, n.servePeers); err != nil {
@@ -143,23 +146,25 @@
 		n.wg.Go(func() { w.Run(n.ctx) })
 	}
 	n.wg.Go(n.register)
-	n.wg.Go(n.beats)
-	n.timer.Every(forgetAfter/4, n.forget)
-	n.timer.Every(savePeriod, n.save)
+	n.wg.Go(n.runHeartbeats)
+	n.timer.Every(minRetention/4, n.evict)
+	n.timer.Every(savePeriod, n.saveBudgets)
 	n.timer.Every(suspectPeriod, n.suspects.save)
-	n.timer.After(forgetAfter, func(time.Duration) { n.ledger.Learn(nil, true) })
+	// A node that has run for minRetention counts as knowing all programs of its failure domain.
+	n.timer.After(minRetention, func(time.Duration) { n.ledger.Learn(nil, true) })
 	n.log.Info("started", "vm", n.cfg.VM.Name, "domain", n.cfg.VM.Domain, "public", n.cfg.Listen.Public, "ledger", n.ledger.String())
 	return nil
 }
 
-// servePeers answers peers, over secured connections if there are settings for that.
+// servePeers answers peers, over TLS if the settings name a certificate.
 func (n *Node) servePeers(l net.Listener) error {
-	if n.secure != nil {
-		l = tls.NewListener(l, n.secure)
+	if n.tlsConfig != nil {
+		l = tls.NewListener(l, n.tlsConfig)
 	}
 	return hgpeer.Serve(l, (*peerHandler)(n))
 }
 
+// listen opens a TCP listener and serves it in the background until the node ends.
 func (n *Node) listen(address string, serve func(l net.Listener) error) (err error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -168,23 +173,24 @@
 	n.listeners = append(n.listeners, l)
 	n.wg.Go(func() {
 		if err := serve(l); err != nil && n.ctx.Err() == nil && !n.stopping.Load() {
-			n.log.Error("listener ended", "address", address, "error", err)
+			n.log.Error("listener failed", "address", address, "error", err)
 		}
 	})
 	return nil
 }
 
 const (
-	// leaveTime is how long a stopping node still takes requests of callers that have not heard of it.
+	// leaveTime is how long a stopping node still accepts requests, as callers may hold an address list that names it.
 	leaveTime = 2500 * time.Millisecond
-	// spareTime is the rest of the grace time after the last answer must be out.
-	spareTime = 700 * time.Millisecond
+	// closeReserve is the part of the platform's grace time that is kept for closing after the last answer.
+	closeReserve = 700 * time.Millisecond
 )
 
-// Stop ends the node gracefully: peers and callers hear of it first, then connections end after their answers.
+// Stop shuts the node down gracefully within the platform's grace time. It tells peers, returns budgets, accepts requests
+// for up to leaveTime, and then waits for the requests in flight.
 func (n *Node) Stop() {
 	began := n.timer.Now()
-	grace := hgconfig.Seconds(n.cfg.Bounds.GraceSeconds) - spareTime
+	grace := hgconfig.Seconds(n.cfg.Bounds.GraceSeconds) - closeReserve
 	n.log.Info("stopping", "running", n.entry.Running(), "grace", grace)
 	n.stopping.Store(true)
 	n.entry.Stop()
@@ -192,20 +198,21 @@
 		i.Stopping, i.Ready = true, false
 		return i
 	})
-	n.beatAll()
+	n.broadcastHeartbeat()
 	leave := min(leaveTime, grace/2)
 	n.returnBudgets(leave)
 	time.Sleep(leave - (n.timer.Now() - began))
 	ctx, cancel := context.WithTimeout(context.Background(), grace-(n.timer.Now()-began))
 	defer cancel()
 	if err := n.public.Shutdown(ctx); err != nil {
-		n.log.Warn("requests are cut", "running", n.entry.Running(), "error", err)
+		n.log.Warn("shutdown incomplete; cutting off the requests in flight", "running", n.entry.Running(), "error", err)
 	}
 	n.log.Info("stopped", "after", n.timer.Now()-began)
 	n.Close()
 }
 
-// returnBudgets gives back what the node holds of budgets, so that its successors have them whole.
+// returnBudgets gives back the tokens that the node has reserved from programs' budgets and not used, so that the nodes that
+// serve these programs next can use them.
 func (n *Node) returnBudgets(limit time.Duration) {
 	ctx, cancel := context.WithTimeout(n.ctx, limit)
 	defer cancel()
@@ -213,41 +220,42 @@
 	n.log.Info("budgets returned", "programs", returned, "failed", failed)
 }
 
-// forget drops silent programs and requests that count no longer, and removes their rows.
-func (n *Node) forget(time.Duration) {
-	n.forgetSuspects()
-	ctx, cancel := context.WithTimeout(n.ctx, forgetAfter/4)
+// evict drops programs without recent requests and suspects that no longer count, and deletes their rows.
+func (n *Node) evict(time.Duration) {
+	n.evictSuspects()
+	ctx, cancel := context.WithTimeout(n.ctx, minRetention/4)
 	defer cancel()
-	silent := forgetAfter
+	idle := minRetention
 	if d := n.entry.Desired(); d != nil {
 		for _, r := range d.Routes {
-			silent = max(silent, forgetFactor*r.RetainFor)
+			idle = max(idle, retentionFactor*r.RetainFor)
 		}
 	}
-	if dropped, failed := n.ledger.Forget(ctx, silent); dropped+failed > 0 {
-		n.log.Info("programs forgotten", "programs", dropped, "failed", failed)
+	if dropped, failed := n.ledger.Forget(ctx, idle); dropped+failed > 0 {
+		n.log.Info("idle programs evicted", "programs", dropped, "failed", failed)
 	}
 }
 
-// Close ends the node at once.
+// Close ends the node at once; requests in flight are cut off.
 func (n *Node) Close() {
 	n.cancel()
 	n.stopping.Store(true)
 	for _, l := range n.listeners {
 		if err := l.Close(); err != nil {
-			n.log.Debug("listener was closed before", "error", err)
+			n.log.Debug("listener already closed", "error", err)
 		}
 	}
 	if err := n.public.Close(); err != nil {
-		n.log.Debug("public server was closed before", "error", err)
+		n.log.Debug("server for callers already closed", "error", err)
 	}
-	if err := n.figures.Close(); err != nil {
-		n.log.Debug("figures not closed", "error", err)
+	if err := n.metrics.Close(); err != nil {
+		n.log.Debug("cannot close metrics", "error", err)
 	}
 	n.timer.Close()
 }
 
-// Ready says whether the node serves callers, reaches the store and hears at least a number of peers.
+// Ready says whether the node serves callers, reaches the store and has at least the given number of live peers. Tests use it
+// to wait for a site to form.
 func (n *Node) Ready(peers int) bool {
 	self := n.members.Self()
 	return self.Ready && self.StoreOK && len(n.members.Live()) >= peers
--- a/internal/operate/hgedge/peer.go
+++ b/internal/operate/hgedge/peer.go
@@ -18,58 +18,58 @@
 )
 
 const (
-	// nodeTable holds a row for each entry VM.
+	// nodeTable is the table with a row for each entry VM. It also holds the ledger's markers and the rows of suspects.
 	nodeTable = "hgnode"
-	// beatTime bounds a heartbeat.
-	beatTime = 600 * time.Millisecond
-	// registerAfter is the pause after a registration that failed.
-	registerAfter = 300 * time.Millisecond
+	// heartbeatTimeout bounds a heartbeat with its answer, and a peer's question about a program's budget.
+	heartbeatTimeout = 600 * time.Millisecond
+	// registerRetryDelay is the pause after a failed attempt to write the node's row.
+	registerRetryDelay = 300 * time.Millisecond
 )
 
 var infoCodec = hgcodec.JSON[hgpeer.Info]{}
 
-// peerHandler answers the messages of peers.
+// peerHandler implements hgpeer.Handler for a node.
 type peerHandler Node
 
-// Copy holds a copy for a peer.
+// Copy keeps a copy of what a peer has taken of a program's budget.
 func (h *peerHandler) Copy(c hgledger.Copy) hgpeer.OKReply {
-	ctx, cancel := context.WithTimeout(h.ctx, closeTime)
+	ctx, cancel := context.WithTimeout(h.ctx, closeTimeout)
 	defer cancel()
 	return hgpeer.OKReply{OK: h.ledger.TakeCopy(ctx, c)}
 }
 
-// Part answers a peer's question about a program.
+// Part returns what this node knows to be taken of a program's budget.
 func (h *peerHandler) Part(q hgledger.SoleRequest) hgledger.SoleReply {
-	ctx, cancel := context.WithTimeout(h.ctx, beatTime)
+	ctx, cancel := context.WithTimeout(h.ctx, heartbeatTimeout)
 	defer cancel()
 	return h.ledger.Part(ctx, q)
 }
 
-// Place gives a place to a peer's request.
+// Place assigns a replica to a peer's request.
 func (h *peerHandler) Place(a hgplacer.Ask) hgpeer.PlaceReply { return h.places.Serve(h.ctx, a) }
 
-// Leave ends a peer's request for a place.
+// Leave ends a peer's request for a place, or its use of one.
 func (h *peerHandler) Leave(q hgpeer.LeaveRequest) { h.places.Left(q) }
 
-// Seen returns the programs that this node knows of.
+// Seen returns the programs that this node knows of, by digest, and whether these are all.
 func (h *peerHandler) Seen() hgpeer.SeenReply {
 	programs, complete := h.ledger.AllSeen()
 	return hgpeer.SeenReply{Programs: programs, Complete: complete}
 }
 
-// Beat takes a heartbeat and returns this node's.
+// Beat processes a peer's heartbeat and returns this node's own as the answer.
 func (h *peerHandler) Beat(b hgpeer.Beat) hgpeer.Beat {
 	n := (*Node)(h)
 	news := h.members.Answer(b)
-	n.useEvents()
-	n.set.HearLeaving(b.Leaving)
-	reply := n.beat()
+	n.learnPrograms()
+	n.replicas.HearLeaving(b.Leaving)
+	reply := n.heartbeat()
 	reply.News = news
 	reply.Suspects = h.suspects.Answer(b.Info.Name, b.Suspects)
 	return reply
 }
 
-// Table returns the copy of a watched table.
+// Table returns this node's copy of a watched table; it is empty for other tables.
 func (h *peerHandler) Table(q hgpeer.TableRequest) hgfeed.Copy {
 	if w, ok := h.watches[q.Table]; ok {
 		return w.Snapshot()
@@ -77,70 +77,75 @@
 	return hgfeed.Copy{}
 }
 
-// Open opens a turn for a peer.
+// Open opens a turn of a program that this node serves for a peer.
 func (h *peerHandler) Open(q hgledger.OpenRequest) hgledger.OpenReply { return h.ledger.Open(h.ctx, q) }
 
-// Close closes a turn for a peer.
+// Close settles a turn that was opened for a peer.
 func (h *peerHandler) Close(q hgledger.CloseRequest) error {
-	ctx, cancel := context.WithTimeout(h.ctx, closeTime)
+	ctx, cancel := context.WithTimeout(h.ctx, closeTimeout)
 	defer cancel()
 	return h.ledger.Close(ctx, q)
 }
 
-// closeTime bounds the write of a turn for a peer, which waits no longer than its caller.
-const closeTime = 3 * time.Second
+// closeTimeout bounds settling a turn or keeping a copy for a peer, which waits no longer for the answer, and each attempt to
+// save budgets.
+const closeTimeout = 3 * time.Second
 
-func (n *Node) beat() hgpeer.Beat {
+// heartbeat returns what this node tells its peers, without the parts that depend on the peer.
+func (n *Node) heartbeat() hgpeer.Beat {
 	changed := map[string]uint64{}
 	for table, w := range n.watches {
 		changed[table] = w.Changed()
 	}
-	return hgpeer.Beat{Info: n.members.Self(), Changed: changed, InFlight: n.set.InFlight(), Leaving: n.set.SaidLeaving()}
+	return hgpeer.Beat{Info: n.members.Self(), Changed: changed, InFlight: n.replicas.InFlight(), Leaving: n.replicas.SaidLeaving()}
 }
 
-// beats sends heartbeats until the node ends.
-func (n *Node) beats() {
+// runHeartbeats sends heartbeats in rounds until the node ends.
+func (n *Node) runHeartbeats() {
 	for round := 0; n.ctx.Err() == nil; round++ {
-		n.members.SetInFlight(n.set.InFlight())
-		n.beatTo(n.members.Targets(round))
+		n.members.SetInFlight(n.replicas.InFlight())
+		n.sendHeartbeats(n.members.Targets(round))
 		select {
 		case <-n.ctx.Done():
 		case <-time.After(n.members.Pace()):
 		}
-		n.set.SetGossip(n.members.InFlight())
-		n.hurryWatches()
+		n.replicas.SetGossip(n.members.InFlight())
+		n.shortenWatches()
 	}
 }
 
-// beatAll sends a heartbeat at once to all peers that get any, as what this node says of itself has changed.
-func (n *Node) beatAll() {
-	const allRound = 0 // In the first round none is left out.
-	n.beatTo(n.members.Targets(allRound))
+// broadcastHeartbeat sends a heartbeat at once to all peers that get any, after a change that they should learn of without
+// delay.
+func (n *Node) broadcastHeartbeat() {
+	const allRound = 0 // The targets of round 0 include those that get no heartbeat in other rounds.
+	n.sendHeartbeats(n.members.Targets(allRound))
 }
 
-// beatTo sends a heartbeat to some peers, and does not wait for answers.
-func (n *Node) beatTo(near, far []hgpeer.Info) {
+// sendHeartbeats sends a heartbeat to peers in this failure domain (near) and in others (far), without waiting for answers.
+// Only near peers are told of programs.
+func (n *Node) sendHeartbeats(near, far []hgpeer.Info) {
 	n.updateReady()
 	n.members.TellPrograms(n.ledger.Seen())
-	b := n.beat()
+	b := n.heartbeat()
 	for _, p := range far {
-		go n.beatOne(p, b)
+		go n.sendHeartbeat(p, b)
 	}
 	b.Programs = n.members.TakeUntold()
 	for _, p := range near {
-		go n.beatOne(p, b)
+		go n.sendHeartbeat(p, b)
 	}
 }
 
-// useEvents takes over what peers have told of programs.
-func (n *Node) useEvents() {
+// learnPrograms passes the programs that heartbeats of peers have reported on to the ledger.
+func (n *Node) learnPrograms() {
 	if programs := n.members.TakeUnused(); len(programs) > 0 {
 		n.ledger.Learn(programs, false)
 	}
 }
 
-func (n *Node) beatOne(p hgpeer.Info, b hgpeer.Beat) {
-	ctx, cancel := context.WithTimeout(n.ctx, beatTime)
+// sendHeartbeat sends a heartbeat to one peer and processes the answer.
+func (n *Node) sendHeartbeat(p hgpeer.Info, b hgpeer.Beat) {
+	ctx, cancel := context.WithTimeout(n.ctx, heartbeatTimeout)
 	defer cancel()
 	b.Ask, b.Suspects = n.members.AskOf(p), n.suspects.Offer(p.Name)
 	reply, err := n.client.Beat(ctx, p.Peer, b)
@@ -150,61 +155,64 @@
 	}
 	n.members.Heard(reply)
 	n.suspects.Take(p.Name, reply.Suspects)
-	n.set.HearLeaving(reply.Leaving)
-	n.useEvents()
-	n.learnSeen(ctx, reply.Info)
+	n.replicas.HearLeaving(reply.Leaving)
+	n.learnPrograms()
+	n.fetchPrograms(ctx, reply.Info)
 	for table, changed := range reply.Changed {
-		n.takeTable(ctx, p, table, changed)
+		n.fetchTable(ctx, p, table, changed)
 	}
 }
 
-// learnSeen fetches once the programs that a peer in this failure domain knows of, all of them if it does.
-func (n *Node) learnSeen(ctx context.Context, p hgpeer.Info) {
+// fetchPrograms fetches the programs of this failure domain from a peer in it that knows all of them, unless this node does
+// already.
+func (n *Node) fetchPrograms(ctx context.Context, p hgpeer.Info) {
 	if !p.KnowsAll || p.Domain != n.cfg.VM.Domain || n.members.Self().KnowsAll {
 		return
 	}
 	reply, err := n.client.Seen(ctx, p.Peer)
 	if err != nil {
-		n.log.Debug("known programs not fetched", "peer", p.Name, "error", err)
+		n.log.Debug("cannot fetch the known programs from a peer", "peer", p.Name, "error", err)
 		return
 	}
 	n.ledger.Learn(reply.Programs, reply.Complete)
 }
 
-// savePeriod is the time between two tries to write what was taken while the store was out of reach.
+// savePeriod is the time between two attempts to write the tokens that were taken from budgets while the store was unreachable.
 const savePeriod = 100 * time.Millisecond
 
-// save writes what was taken while the store was out of reach, once it is back.
-func (n *Node) save(time.Duration) {
+// saveBudgets writes the tokens taken from budgets while the store was unreachable, once it answers again. Peers are told at
+// once when the node begins or ceases to have such unsaved tokens.
+func (n *Node) saveBudgets(time.Duration) {
 	if unsaved := n.ledger.Unsaved(); unsaved != n.members.Self().Unsaved {
-		n.beatAll()
+		n.broadcastHeartbeat()
 	}
 	if !n.health.ok() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, closeTime)
+	ctx, cancel := context.WithTimeout(n.ctx, closeTimeout)
 	defer cancel()
 	if saved, left := n.ledger.Save(ctx); saved+left > 0 {
 		n.log.Info("budgets saved", "programs", saved, "left", left)
 	}
 }
 
-// register writes the node's row until that has succeeded.
+// register writes the node's row to the store, with retries until it has succeeded or the node ends.
 func (n *Node) register() {
 	key := nodeTable + "//" + n.cfg.VM.Name
 	value, err := infoCodec.Encode(n.members.Self())
 	if err != nil {
-		n.log.Error("node cannot be registered", "error", err)
+		n.log.Error("cannot encode the row of this node", "error", err)
 		return
 	}
 	for n.ctx.Err() == nil {
 		if _, err := n.store.Commit(n.ctx, hgstore.Txn{Puts: []hgstore.Put{{Key: key, Value: value}}}); err == nil {
 			return
 		}
-		time.Sleep(registerAfter)
+		time.Sleep(registerRetryDelay)
 	}
 }
 
+// applyNodes applies the rows of nodeTable: ledger markers, suspects and entry VMs.
 func (n *Node) applyNodes(rows map[string]hgstore.Row, _ time.Duration) {
 	n.ledger.SetMarkers(rows)
 	n.suspects.load(rows)
@@ -214,49 +222,52 @@
 		}
 		i, err := infoCodec.Decode(row.Value)
 		if err != nil {
-			n.log.Warn("node left out", "row", row.Key, "error", err)
+			n.log.Warn("ignoring a node whose row cannot be decoded", "row", row.Key, "error", err)
 		}
 		return i, err == nil
 	})
 	n.members.SetNamed(nodes)
-	n.readyAtOnce()
+	n.checkReady()
 }
 
-// readyAtOnce lets callers come as soon as the last table is known, without waiting for the next heartbeat.
-func (n *Node) readyAtOnce() {
+// checkReady updates the readiness of a node that is not ready. It is called when a table was read, so that the node becomes
+// ready without waiting for the next heartbeat.
+func (n *Node) checkReady() {
 	if !n.members.Self().Ready {
 		n.updateReady()
 	}
 }
 
-// health tells whether the store answers this node.
+// health tracks whether the store answers this node.
 type health struct {
 	timer *hgtimer.Service
 
 	mu sync.Mutex
-	// good is the last answer and bad the first failure since; 0 if there is none.
-	good, bad time.Duration
+	// lastOK is the time of the last answer, and failingSince that of the first failure after it; 0 if there is none.
+	lastOK, failingSince time.Duration
 }
 
-// badFor is how long the store may fail until it counts as out of reach.
-const badFor = 400 * time.Millisecond
+// outageAfter is how long the store may fail until it counts as unreachable.
+const outageAfter = 400 * time.Millisecond
 
-func (h *health) called(err error) {
+// observe records the result of a call to the store.
+func (h *health) observe(err error) {
 	now := h.timer.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case err == nil:
-		h.good, h.bad = now, 0
-	case h.bad == 0:
-		h.bad = now
+		h.lastOK, h.failingSince = now, 0
+	case h.failingSince == 0:
+		h.failingSince = now
 	}
 }
 
+// ok says whether the store is reachable: it has answered before and has not failed for outageAfter since.
 func (h *health) ok() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.good > 0 && (h.bad == 0 || h.timer.Now()-h.bad < badFor)
+	return h.lastOK > 0 && (h.failingSince == 0 || h.timer.Now()-h.failingSince < outageAfter)
 }
 
 // knowsTables says whether the node has read all watched tables, from the store or from a peer.
@@ -264,8 +275,8 @@
 	return lo.EveryBy(lo.Values(n.watches), func(w *hgfeed.Watch) bool { return w.Changed() > 0 })
 }
 
-// updateReady says whether callers may come: there is a desired state, the replicas and the other VMs are known, and this
-// node or a peer reaches the store.
+// updateReady updates what this node tells peers of its state. It is ready for callers once it has a desired state and has
+// read the tables of replicas and nodes, if it reaches the store or has live peers, and while it is not stopping.
 func (n *Node) updateReady() {
 	storeOK := n.health.ok()
 	ready := n.entry.Desired() != nil && n.knowsTables() && !n.stopping.Load()
@@ -279,6 +290,6 @@
 		return i
 	})
 	if was.Ready != ready || was.StoreOK != storeOK {
-		n.log.Info("state of the node", "ready", ready, "store", storeOK, "peers", len(n.members.Live()))
+		n.log.Info("readiness or reachability of the store changed", "ready", ready, "store", storeOK, "peers", len(n.members.Live()))
 	}
 }
--- a/internal/operate/hgedge/replica.go
+++ b/internal/operate/hgedge/replica.go
@@ -15,53 +15,56 @@
 )
 
 const (
-	// replicaDial bounds a new connection to a replica, which is a millisecond away.
-	replicaDial = 400 * time.Millisecond
-	// silentConn is how long a connection to a replica may leave bytes unacknowledged.
-	silentConn = 1500 * time.Millisecond
-	// replicaConns bounds the idle connections to one replica.
-	replicaConns = 16
-	// maxReplicaHead bounds the head of a replica's answer, in bytes.
-	maxReplicaHead = 64 << 10
+	// replicaDialTimeout bounds opening a connection to a replica; the network takes about a millisecond.
+	replicaDialTimeout = 400 * time.Millisecond
+	// replicaAckTimeout is how long a replica's host may leave sent bytes unacknowledged before the connection is closed.
+	replicaAckTimeout = 1500 * time.Millisecond
+	// maxIdleConns bounds the idle connections to one replica.
+	maxIdleConns = 16
+	// maxReplicaHeaderBytes bounds the header of a replica's answer.
+	maxReplicaHeaderBytes = 64 << 10
 )
 
-// newReplicaClient returns a client that sends a request once, follows nothing and decodes nothing, and keeps unused
-// connections for a time.
+// newReplicaClient returns a client for one replica that follows no redirects, decompresses nothing and closes connections
+// that were idle for the given time.
 func newReplicaClient(idle time.Duration) *http.Client {
 	d := &net.Dialer{
-		Timeout:         replicaDial,
+		Timeout:         replicaDialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2},
 		Control: func(_, _ string, c syscall.RawConn) (err error) {
-			outer := c.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentConn.Milliseconds()))
+			controlErr := c.Control(func(fd uintptr) {
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(replicaAckTimeout.Milliseconds()))
 			})
-			if outer != nil {
-				return outer
+			if controlErr != nil {
+				return controlErr
 			}
 			return err
 		},
 	}
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext: d.DialContext, DisableCompression: true, MaxIdleConnsPerHost: replicaConns, IdleConnTimeout: idle,
-			MaxResponseHeaderBytes: maxReplicaHead,
+			DialContext: d.DialContext, DisableCompression: true, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idle,
+			MaxResponseHeaderBytes: maxReplicaHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-func (n *Node) applyReplicas(rows map[string]hgstore.Row, lapse time.Duration) {
+// applyReplicas applies the registrations of replicas. Missing ones are kept for the grace time that is left after an outage
+// of the store.
+func (n *Node) applyReplicas(rows map[string]hgstore.Row, grace time.Duration) {
 	entries := n.replicaRows.Decode(rows, func(row hgstore.Row) (e hgreplica.Entry, ok bool) {
 		e, err := hgplatform.DecodeReplica(row.Key, row.Value)
 		if err != nil {
-			n.log.Debug("registration left out", "error", err, "version", row.Version)
+			n.log.Debug("ignoring a registration that cannot be decoded", "error", err, "version", row.Version)
 		}
 		return e, err == nil
 	})
-	n.set.Apply(lo.KeyBy(entries, func(e hgreplica.Entry) string { return e.ID }), lapse)
-	n.readyAtOnce()
+	n.replicas.Apply(lo.KeyBy(entries, func(e hgreplica.Entry) string { return e.ID }), grace)
+	n.checkReady()
 }
 
+// applyDesired applies the desired state. One that cannot be decoded is logged, and the current one stays in effect.
 func (n *Node) applyDesired(rows map[string]hgstore.Row, _ time.Duration) {
 	row, ok := rows[hgplatform.DesiredKey]
 	if !ok {
@@ -69,12 +72,12 @@
 	}
 	s, err := hgplatform.DecodeDesired(row.Value, n.log)
 	if err != nil {
-		n.log.Error("desired state cannot be read", "version", row.Version, "error", err)
+		n.log.Error("cannot decode the desired state; keeping the current one", "version", row.Version, "error", err)
 		return
 	}
 	if n.entry.SetDesired(s) {
 		n.desiredAt.Store(int64(n.timer.Now()))
-		n.log.Info("desired state in force", "version", s.Version, "routes", len(s.Routes), "services", len(s.Services))
+		n.log.Info("desired state applied", "version", s.Version, "routes", len(s.Routes), "services", len(s.Services))
 	}
 	n.updateReady()
 }
--- a/internal/operate/hgedge/status.go
+++ b/internal/operate/hgedge/status.go
@@ -14,7 +14,7 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Status describes the node for operators.
+// Status returns the state of the node for operators; it is served as JSON.
 func (n *Node) Status() hgstatus.Status {
 	self := n.members.Self()
 	placer, _ := n.members.Placer()
@@ -23,7 +23,7 @@
 		Running: n.entry.Running(), Programs: n.ledger.Programs(), Placer: placer.Name,
 	}
 	if d := n.entry.Desired(); d != nil {
-		s.Version, s.InForce = d.Version, (n.timer.Now() - n.inForce()).Seconds()
+		s.Version, s.InForce = d.Version, (n.timer.Now() - n.desiredSince()).Seconds()
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.watches)) {
 		w := n.watches[name]
@@ -38,11 +38,11 @@
 	return s
 }
 
-// services describes the replicas by service.
+// services returns the services in order of their names, each with its replicas in order of their IDs.
 func (n *Node) services() (services []hgstatus.Service) {
-	byService := lo.GroupBy(n.set.Summaries(), func(r hgreplica.Summary) string { return r.Service })
+	byService := lo.GroupBy(n.replicas.Summaries(), func(r hgreplica.Summary) string { return r.Service })
 	for _, name := range slices.Sorted(maps.Keys(byService)) {
-		service := hgstatus.Service{Name: name, Load: n.set.Load(name)}
+		service := hgstatus.Service{Name: name, Load: n.replicas.Load(name)}
 		for _, r := range byService[name] {
 			service.Replicas = append(service.Replicas, hgstatus.Replica{
 				ID: r.ID, Domain: r.Domain, Out: r.Out, InFlight: r.InFlight, Failures: r.Failures, DelayMs: r.Delay.Seconds() * 1000,
@@ -57,6 +57,6 @@
 func (n *Node) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(n.Status()); err != nil {
-		n.log.Debug("status not written", "error", err)
+		n.log.Debug("cannot write status", "error", err)
 	}
 }
--- a/internal/operate/hgedge/suspect.go
+++ b/internal/operate/hgedge/suspect.go
@@ -17,88 +17,90 @@
 )
 
 const (
-	// suspectPrefix begins the keys of requests that broke off replicas; they lie in a table that all VMs watch.
+	// suspectPrefix begins the keys of rows of suspects. They are kept in nodeTable, as all entry VMs watch it.
 	suspectPrefix = nodeTable + "//suspect-"
-	// spreadPause is the least time between two rounds of heartbeats that tell of breaks.
-	spreadPause = 50 * time.Millisecond
-	// suspectPeriod is the least time between two writes of requests that broke off replicas, and suspectPerPeer what each
-	// peer adds to it, so that the writes of all VMs are bounded at any size of the site.
+	// minBroadcastInterval is the least time between two rounds of heartbeats sent early because of a break.
+	minBroadcastInterval = 50 * time.Millisecond
+	// suspectPeriod is the least time between two writes of suspects by one VM, and suspectPerPeer what each peer adds to it,
+	// so that the write rate of all VMs together is bounded at any size of the site.
 	suspectPeriod  = 500 * time.Millisecond
 	suspectPerPeer = 10 * time.Millisecond
-	// maxSuspects bounds the rows that one transaction writes or removes; the store takes 100 entries.
+	// maxSuspects bounds the rows that one transaction writes or deletes; the store accepts 100 entries.
 	maxSuspects = 50
 )
 
 var suspectCodec = hgcodec.JSON[hgsuspect.Row]{}
 
-// suspects are the requests that break off replicas, as all entry VMs have seen them: breaks are told with heartbeats, and
-// kept in the store from the second one on.
+// suspects shares the list of suspects, the requests during which replicas broke off, among all entry VMs. Breaks are sent
+// to peers with heartbeats, and saved in the store from a request's second break on. A node that hears no majority of the
+// nodes saves the first break too.
 type suspects struct {
 	*hgsuspect.List
 	node *Node
-	// spreading says that a round of heartbeats is due.
-	spreading atomic.Bool
-	// told is when the last one went out, in nanoseconds of the timer.
-	told atomic.Int64
+	// scheduled says that a broadcast is scheduled.
+	scheduled atomic.Bool
+	// broadcastAt is when the last broadcast began, in nanoseconds of the timer.
+	broadcastAt atomic.Int64
 
-	// mu is held while rows are written, and saved is when that was last begun.
-	mu    sync.Mutex
-	saved time.Duration
+	// mu is held while rows are written; savedAt is when the last write began.
+	mu      sync.Mutex
+	savedAt time.Duration
 }
 
-// Broke counts a break and has peers and the store told.
+// Broke counts a break and schedules a broadcast of it to peers and the store.
 func (s *suspects) Broke(r hgsuspect.Request) {
 	s.List.Broke(r)
-	if !s.spreading.CompareAndSwap(false, true) {
+	if !s.scheduled.CompareAndSwap(false, true) {
 		return
 	}
-	pause := spreadPause - (s.node.timer.Now() - time.Duration(s.told.Load()))
+	pause := minBroadcastInterval - (s.node.timer.Now() - time.Duration(s.broadcastAt.Load()))
 	if pause <= 0 {
-		go s.spread(0)
+		go s.broadcast(0)
 		return
 	}
-	s.node.timer.After(pause, s.spread)
+	s.node.timer.After(pause, s.broadcast)
 }
 
-// replicaEnded counts breaks of the requests that a replica has not answered before its end.
+// replicaEnded counts a break for each request that a replica left unanswered when it ended.
 func (s *suspects) replicaEnded(id string) {
 	for _, r := range s.TakeUnanswered(id) {
-		s.node.log.Info("replica ended under a request without an answer", "replica", id, "digest", r.Caller)
+		s.node.log.Info("replica ended without answering a request", "replica", id, "digest", r.Caller)
 		s.Broke(r)
 	}
 }
 
-// spread tells peers and the store of breaks. On a large site the next heartbeat is soon enough: a hub hears many VMs.
-func (s *suspects) spread(time.Duration) {
-	s.told.Store(int64(s.node.timer.Now()))
-	s.spreading.Store(false)
+// broadcast sends breaks to peers and the store. On a large site peers are told with the next regular heartbeat, as extra
+// ones from many VMs would load the hubs.
+func (s *suspects) broadcast(time.Duration) {
+	s.broadcastAt.Store(int64(s.node.timer.Now()))
+	s.scheduled.Store(false)
 	if !s.node.members.IsLarge() {
-		s.node.beatAll()
+		s.node.broadcastHeartbeat()
 	}
 	s.save(0)
 }
 
-// save writes what the store does not hold yet, if the last write was long enough ago.
+// save writes the suspects that the store does not hold yet, unless a write is under way or the last one was too recent.
 func (s *suspects) save(time.Duration) {
 	if !s.mu.TryLock() {
 		return
 	}
 	defer s.mu.Unlock()
 	period := suspectPeriod + time.Duration(len(s.node.members.All()))*suspectPerPeer
-	if s.saved > 0 && s.node.timer.Now()-s.saved < period {
+	if s.savedAt > 0 && s.node.timer.Now()-s.savedAt < period {
 		return
 	}
 	records := s.Unsaved(s.node.members.IsApart(), maxSuspects)
 	if len(records) == 0 {
 		return
 	}
-	s.saved = s.node.timer.Now()
+	s.savedAt = s.node.timer.Now()
 	now := time.Now()
 	var txn hgstore.Txn
 	for _, r := range records {
 		value, err := suspectCodec.Encode(hgsuspect.RowOf(r, now))
 		if err != nil {
-			s.node.log.Error("suspect not encoded", "digest", r.Digest, "error", err)
+			s.node.log.Error("cannot encode suspect", "digest", r.Digest, "error", err)
 			return
 		}
 		txn.Puts = append(txn.Puts, hgstore.Put{Key: fmt.Sprintf("%s%016x", suspectPrefix, r.Digest), Value: value})
@@ -106,14 +108,14 @@
 	ctx, cancel := context.WithTimeout(s.node.ctx, storeTimeout)
 	defer cancel()
 	if _, err := s.node.store.Commit(ctx, txn); err != nil {
-		s.node.log.Info("suspects not saved", "requests", len(records), "error", err)
+		s.node.log.Info("cannot save suspects", "requests", len(records), "error", err)
 		return
 	}
 	s.Saved(records)
 	s.node.log.Info("suspects saved", "requests", len(records))
 }
 
-// load takes over the rows of requests that broke off replicas at any VM.
+// load merges the rows of suspects that any VM has saved into the list.
 func (s *suspects) load(rows map[string]hgstore.Row) {
 	var records []hgsuspect.Record
 	now := time.Now()
@@ -123,7 +125,7 @@
 		}
 		r, err := suspectCodec.Decode(row.Value)
 		if err != nil {
-			s.node.log.Warn("suspect left out", "row", row.Key, "error", err)
+			s.node.log.Warn("ignoring a suspect whose row cannot be decoded", "row", row.Key, "error", err)
 			return r, false
 		}
 		if !r.IsOld(now) {
@@ -134,10 +136,12 @@
 	s.Load(records)
 }
 
+// isSuspect says whether a row of nodeTable describes a suspect.
 func isSuspect(row hgstore.Row) bool { return strings.HasPrefix(row.Key, suspectPrefix) }
 
-// forgetSuspects removes rows that count no longer, at one VM of the site, and forgets the lists of peers that are gone.
-func (n *Node) forgetSuspects() {
+// evictSuspects drops what the list holds of peers that are gone and of old unanswered requests. The VM that comes first by
+// name among the live ones also deletes the rows of suspects that no longer count.
+func (n *Node) evictSuspects() {
 	n.suspects.Retain(lo.SliceToMap(n.members.All(), func(i hgpeer.Info) (string, bool) { return i.Name, true }))
 	n.suspects.ForgetUnanswered()
 	if live := n.members.Live(); len(live) > 0 && live[0].Name < n.cfg.VM.Name {
@@ -157,7 +161,7 @@
 		ctx, cancel := context.WithTimeout(n.ctx, storeTimeout)
 		_, err := n.store.Commit(ctx, hgstore.Txn{Deletes: keys})
 		cancel()
-		n.log.Info("suspects removed", "rows", len(keys), "error", err)
+		n.log.Info("old suspects deleted", "rows", len(keys), "error", err)
 		if err != nil {
 			return
 		}
--- a/internal/operate/hgedge/watch.go
+++ b/internal/operate/hgedge/watch.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// feedPatience is how long a table's watch must fail before a peer's copy is fetched.
-	feedPatience = 250 * time.Millisecond
-	// longWait is how long the store may hold the watches of a node that serves nobody, while hubs tell it of newer
-	// versions.
-	longWait = 8 * time.Second
+	// peerFetchDelay is how long the watch of a table must have been failing before the table is fetched from a peer.
+	peerFetchDelay = 250 * time.Millisecond
+	// idleWait is how long the store may hold the polls of an idle node, which serves no callers. Heartbeats of hubs tell
+	// such a node of newer versions.
+	idleWait = 8 * time.Second
 )
 
-// feedWait returns how long the store may hold a watch's call.
-func (n *Node) feedWait() time.Duration {
+// watchWait returns how long the store may hold a poll of a watch.
+func (n *Node) watchWait() time.Duration {
 	if n.members.IsIdle() {
-		return longWait
+		return idleWait
 	}
 	return hgfeed.DefaultWait
 }
 
-// hurryWatches ends the long calls of a node that is not to wait so long any more.
-func (n *Node) hurryWatches() {
+// shortenWatches ends polls that the store has held beyond DefaultWait, once the node is no longer idle.
+func (n *Node) shortenWatches() {
 	if n.members.IsIdle() {
 		return
 	}
@@ -34,19 +34,20 @@
 	}
 }
 
-// takeTable fetches a peer's newer copy of a table if the store does not tell this node.
-func (n *Node) takeTable(ctx context.Context, p hgpeer.Info, table string, changed uint64) {
+// fetchTable handles a peer's report of a table's version. If it is newer than this node's, the watch is told, and the table
+// is fetched from the peer if the watch is failing.
+func (n *Node) fetchTable(ctx context.Context, p hgpeer.Info, table string, changed uint64) {
 	w, ok := n.watches[table]
 	if !ok || changed <= w.Changed() {
 		return
 	}
 	w.NotePeerVersion(changed)
-	if w.Failing() < feedPatience {
+	if w.Failing() < peerFetchDelay {
 		return
 	}
 	c, err := n.client.Table(ctx, p.Peer, table)
 	if err != nil {
-		n.log.Debug("table not fetched", "table", table, "peer", p.Name, "error", err)
+		n.log.Debug("cannot fetch table from a peer", "table", table, "peer", p.Name, "error", err)
 		return
 	}
 	w.Offer(c)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -113,7 +113,7 @@
 red crashAgain TestCrashingCopiesUnderWayAreCheckedAgain internal/proof/hgsite \
   internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.suspect\); refused/refused := x.entry.suspects.Refused(x.suspect); refused \&\& false/'
 red crashSilent TestCrashingRequestThatEndsReplicasSilently internal/proof/hgsite \
-  internal/operate/hgedge/node.go 's/n\.set\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
+  internal/operate/hgedge/node.go 's/n\.replicas\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
 red silentPeers TestMembers internal/peer/hgpeer \
   internal/peer/hgpeer/members.go 's/limit := concernFor/limit := silentBeats * farBeats * m.period()/'
 red saysLeaving TestLeavingReplicaSaysSoInAnswers internal/proof/hgsite \
