--- a/hgroute/doc.go
+++ b/hgroute/doc.go
@@ -1,2 +1,3 @@
-// Package hgroute chooses the endpoint for a call as a state machine: loads, results and the time in, a choice out.
+// Package hgroute chooses the endpoint that runs a call. It is a deterministic state machine: its inputs are loads,
+// results of calls and the current time, its output is the chosen endpoint.
 package hgroute
--- a/hgroute/policy.go
+++ b/hgroute/policy.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// NewPolicy returns the policy of that name; an unknown name gives the score policy.
+// NewPolicy returns the policy with the given name, or the score policy if the name is unknown.
 func NewPolicy(name string) Policy {
 	switch name {
 	case "roundRobin":
@@ -18,18 +18,20 @@
 	return score{}
 }
 
-// score weighs the expected wait, the prefix to compute, the speed of decoding and the failure domain.
+// score chooses the endpoint with the least expected cost in milliseconds: queueing, computing the uncached part of the
+// prompt, slower decoding, and a penalty for another failure domain.
 type score struct{}
 
-// Pick returns the endpoint with the least sum of terms.
+// Pick returns the endpoint with the least score. The scan starts at a different endpoint each time, so that equal scores
+// do not favor one endpoint.
 func (score) Pick(r *Router, q Query, now time.Duration) Choice {
 	best := Choice{Endpoint: -1}
 	least := math.Inf(1)
 	list := r.byTarget[q.Target]
-	r.turn++
+	r.offset++
 	n := 0
 	for k := range list {
-		i := list[wrap(k+r.turn%len(list), len(list))]
+		i := list[wrap(k+r.offset%len(list), len(list))]
 		e := &r.eps[i]
 		if i == q.Exclude || !e.usable(now) || q.New && !e.hasRoom(now) {
 			continue
@@ -52,17 +54,17 @@
 	return i
 }
 
-// terms returns the terms of endpoint i's score.
+// terms returns a Choice of endpoint i with the terms of its score.
 func (r *Router) terms(e *endpoint, i int, q *Query, now time.Duration) Choice {
 	n := e.inFlight(now)
-	c := Choice{Endpoint: i, Wait: !e.freeWith(n, now)}
+	c := Choice{Endpoint: i, Wait: !e.hasSlotAt(n, now)}
 	uncached := q.Tokens
 	if i == q.Home {
 		uncached -= q.HomeTokens
 	}
 	c.PrefillMs = float64(max(uncached, 0)) * r.prefillMs * r.preset.RecomputeWeight
 	if c.Wait {
-		c.WaitMs = e.waitMs(n)
+		c.WaitMs = e.expectedWaitMs(n)
 	}
 	c.DecodeMs = float64(q.Output) * e.slowdownMs() * float64(n)
 	if e.remote {
@@ -71,67 +73,67 @@
 	return c
 }
 
-// String names the policy.
+// String returns the policy's name in presets.
 func (score) String() string { return "score" }
 
-// roundRobin takes the next endpoint with a place free.
+// roundRobin chooses the usable endpoints in turn.
 type roundRobin struct{}
 
-// Pick returns the next endpoint in turn.
+// Pick returns the next endpoint that can start a call, or the next usable one if all are full.
 func (roundRobin) Pick(r *Router, q Query, now time.Duration) Choice {
 	list := r.byTarget[q.Target]
 	c := Choice{Endpoint: -1}
 	for k := range list {
-		i := list[(r.turn+k)%len(list)]
+		i := list[(r.offset+k)%len(list)]
 		e := &r.eps[i]
 		if i == q.Exclude || !e.usable(now) {
 			continue
 		}
 		c.Candidates++
 		if c.Endpoint < 0 || c.Wait {
-			c.Endpoint, c.Wait = i, !e.free(now)
+			c.Endpoint, c.Wait = i, !e.hasSlot(now)
 		}
 		if !c.Wait {
-			r.turn = (r.turn + k + 1) % len(list)
+			r.offset = (r.offset + k + 1) % len(list)
 			return c
 		}
 	}
 	return c
 }
 
-// String names the policy.
+// String returns the policy's name in presets.
 func (roundRobin) String() string { return "roundRobin" }
 
-// leastInFlight takes the endpoint with the fewest calls in flight.
+// leastInFlight chooses by the number of calls in flight.
 type leastInFlight struct{}
 
-// Pick returns the endpoint with the fewest calls in flight.
+// Pick returns the endpoint with the fewest calls in flight, counting those of peers.
 func (leastInFlight) Pick(r *Router, q Query, now time.Duration) Choice {
 	c := Choice{Endpoint: -1}
 	least := 0
 	list := r.byTarget[q.Target]
-	r.turn++
+	r.offset++
 	for k := range list {
-		i := list[(r.turn+k)%len(list)]
+		i := list[(r.offset+k)%len(list)]
 		e := &r.eps[i]
 		if i == q.Exclude || !e.usable(now) {
 			continue
 		}
 		c.Candidates++
 		if n := e.inFlight(now); c.Endpoint < 0 || n < least {
-			c.Endpoint, c.Wait, least = i, !e.free(now), n
+			c.Endpoint, c.Wait, least = i, !e.hasSlot(now), n
 		}
 	}
 	return c
 }
 
-// String names the policy.
+// String returns the policy's name in presets.
 func (leastInFlight) String() string { return "leastInFlight" }
 
-// hashAffinity takes the endpoint with the highest hash of program and endpoint.
+// hashAffinity chooses the endpoint with the highest hash of program and endpoint.
 type hashAffinity struct{}
 
-// Pick returns the program's endpoint by rendezvous hashing.
+// Pick returns the program's endpoint by rendezvous hashing over the usable endpoints.
 func (hashAffinity) Pick(r *Router, q Query, now time.Duration) Choice {
 	c := Choice{Endpoint: -1}
 	most := uint64(0)
@@ -141,18 +143,18 @@
 			continue
 		}
 		c.Candidates++
-		if h := mix(q.Program ^ mix(uint64(i)+1)); c.Endpoint < 0 || h > most {
-			c.Endpoint, c.Wait, most = i, !e.free(now), h
+		if h := fmix64(q.Program ^ fmix64(uint64(i)+1)); c.Endpoint < 0 || h > most {
+			c.Endpoint, c.Wait, most = i, !e.hasSlot(now), h
 		}
 	}
 	return c
 }
 
-// String names the policy.
+// String returns the policy's name in presets.
 func (hashAffinity) String() string { return "hashAffinity" }
 
-// mix is the 64-bit finalizer of MurmurHash3.
-func mix(h uint64) uint64 {
+// fmix64 is the 64-bit finalizer of MurmurHash3.
+func fmix64(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
--- a/hgroute/router_test.go
+++ b/hgroute/router_test.go
@@ -20,9 +20,9 @@
 	return NewRouter("node", "0", eps, 50, p)
 }
 
-func keep(*hgpreset.Preset) {}
+func unchanged(*hgpreset.Preset) {}
 
-// query is a call of a program under way whose prefix is on endpoint 1.
+// query is a call of a running program whose prefix is cached on endpoint 1.
 var query = Query{Target: "m", Home: 1, HomeTokens: 4000, Tokens: 4200, Output: 100, Exclude: -1}
 
 func TestPick(t *testing.T) {
@@ -36,8 +36,8 @@
 		"home is excluded":             {func(*Router) {}, Query{Target: "m", Home: 1, HomeTokens: 4000, Tokens: 4200, Exclude: 1}, 0, false},
 		"home leaves":                  {func(r *Router) { r.SetLeaving(1, true) }, query, 0, false},
 		"home refused a connection":    {func(r *Router) { r.Failed(1, true, 0) }, query, 0, false},
-		"full home is worth the wait":  {func(r *Router) { fill(r, 1) }, query, 1, true},
-		"full home, short prefix":      {func(r *Router) { fill(r, 1) }, Query{Target: "m", Home: 1, HomeTokens: 10, Tokens: 20, Exclude: -1}, 0, false},
+		"full home is worth the wait":  {func(r *Router) { fillWindow(r, 1) }, query, 1, true},
+		"full home, short prefix":      {func(r *Router) { fillWindow(r, 1) }, Query{Target: "m", Home: 1, HomeTokens: 10, Tokens: 20, Exclude: -1}, 0, false},
 		"new program goes to memory":   {func(r *Router) { r.SetHeld(0, 20_000); r.SetHeld(1, 20_000) }, Query{Target: "m", Home: -1, Tokens: 50, Exclude: -1, New: true}, 2, false},
 		"no endpoint serves":           {func(*Router) {}, Query{Target: "x", Home: -1, Exclude: -1}, -1, false},
 		"alone waits for a call":       {func(r *Router) { start(r, 0); start(r, 1); start(r, 2) }, Query{Target: "m", Home: -1, Exclude: -1, Alone: true}, 0, true},
@@ -46,9 +46,9 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := router(3, keep)
+			r := router(3, unchanged)
 			tc.prepare(r)
-			r.turn = 2
+			r.offset = 2
 			c := r.Pick(tc.query, 0)
 			if diff := cmp.Diff([]any{tc.want, tc.wait}, []any{c.Endpoint, c.Wait}); diff != "" {
 				t.Errorf("choice (-want +got):\n%s", diff)
@@ -59,15 +59,17 @@
 
 func start(r *Router, i int) { r.Started(i, Query{Home: i}) }
 
-func fill(r *Router, i int) {
+// fillWindow starts as many calls as the initial window of the preset allows.
+func fillWindow(r *Router, i int) {
 	for range 24 {
 		start(r, i)
 	}
 }
 
-// TestEjectionReturnsInSteps ejects an endpoint that refuses connections and lets single calls try it after the ejection.
+// TestEjectionReturnsInSteps guards against sending a full window of calls to an endpoint whose ejection has just ended:
+// one call at a time probes it until one succeeds.
 func TestEjectionReturnsInSteps(t *testing.T) {
-	r := router(1, keep)
+	r := router(1, unchanged)
 	r.Failed(0, true, 0)
 	if c := r.Pick(query, 500*time.Millisecond); c.Endpoint != -1 {
 		t.Errorf("ejected endpoint was chosen: %+v", c)
@@ -101,7 +103,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 50, 200} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
-			r := router(n, keep)
+			r := router(n, unchanged)
 			for i := range n {
 				for p := range 9 {
 					r.PeerLoad(i, fmt.Sprint("peer-", p), 2, 1000, 0)
