--- a/hgadmit/doc.go
+++ b/hgadmit/doc.go
@@ -1,2 +1,3 @@
-// Package hgadmit orders the calls that wait for an endpoint and refuses early those that would wait too long.
+// Package hgadmit implements admission control: it orders the calls that wait for an endpoint and refuses at once those
+// that would wait too long.
 package hgadmit
--- a/hgadmit/order.go
+++ b/hgadmit/order.go
@@ -4,7 +4,7 @@
 	"hyssopgrade/hgpreset"
 )
 
-// NewOrder returns the order that a preset names.
+// NewOrder returns the order selected by the preset's queue policy.
 func NewOrder(p hgpreset.Preset) Order {
 	if p.QueuePolicy == "arrival" {
 		return arrival{}
@@ -12,22 +12,24 @@
 	return leastService{ageing: float64(p.AgeingTokensPerSecond)}
 }
 
-// arrival serves calls in the order in which they came.
+// arrival starts calls in the order of their arrival.
 type arrival struct{}
 
-// Key returns the arrival.
+// Key returns the time of arrival in seconds.
 func (arrival) Key(w Waiting) float64 { return w.Since.Seconds() }
 
-// String names the order.
+// String returns the order's name in presets.
 func (arrival) String() string { return "arrival" }
 
-// leastService serves the program first that has been served least; all calls age alike.
+// leastService starts calls of the programs that have been served the fewest tokens first. Each second of waiting counts
+// as ageing fewer tokens served, which prevents starvation.
 type leastService struct{ ageing float64 }
 
-// Key returns the service of the program, aged by the arrival.
+// Key returns the tokens served to the program plus the ageing until the call's arrival. A later arrival has a higher key,
+// so the order of two waiting calls does not change with time.
 func (o leastService) Key(w Waiting) float64 {
 	return float64(w.Served) + o.ageing*w.Since.Seconds()
 }
 
-// String names the order.
+// String returns the order's name in presets.
 func (leastService) String() string { return "leastService" }
--- a/hgadmit/queue_test.go
+++ b/hgadmit/queue_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestAgeingEndsStarvation lets a program that was served much wait while others that were served little keep coming.
+// TestAgeingEndsStarvation guards against starvation of a program that has been served many tokens while calls of programs
+// with few tokens keep arriving.
 func TestAgeingEndsStarvation(t *testing.T) {
 	q := queue(func(p *hgpreset.Preset) { p.AgeingTokensPerSecond = 200 })
 	q.Push(Waiting{ID: 1, Served: 10_000}, time.Hour, 0)
@@ -90,7 +91,8 @@
 	}
 }
 
-// TestClosedTime asks what new programs are told while the preset takes none: to come back after as long as that has lasted.
+// TestClosedTime checks the wait reported to new programs while the preset admits none: it is the time since the first
+// refusal, and starts anew after a preset that admits them.
 func TestClosedTime(t *testing.T) {
 	q := queue(func(*hgpreset.Preset) {})
 	open, closed := q.preset, q.preset
