--- a/hgretain/doc.go
+++ b/hgretain/doc.go
@@ -1,2 +1,2 @@
-// Package hgretain decides what becomes of a program's prompt prefix in an engine's memory between its calls.
+// Package hgretain decides whether an engine keeps a program's prompt prefix in its memory between the program's calls.
 package hgretain
--- a/hgretain/keeper.go
+++ b/hgretain/keeper.go
@@ -6,67 +6,75 @@
 	"hyssopgrade/hgpreset"
 )
 
-// Action is what to do with a prefix.
+// Action tells an endpoint what to do with a program's prefix.
 type Action string
 
-// The actions.
+// Actions on prefixes. The values are sent to endpoints.
 const (
-	// Hold leaves the prefix where it is.
+	// Hold keeps the prefix in memory.
 	Hold Action = "hold"
-	// Release gives its memory back.
+	// Release frees the prefix's memory.
 	Release Action = "release"
 )
 
-// Order tells to act on a program's prefix on an endpoint.
+// Order is an instruction to an endpoint about a program's prefix.
 type Order struct {
 	Program  string
 	Endpoint string
 	Action   Action
-	Reason   string
+	// Reason appears in the log: moved, longPause, ended, silent or orphan.
+	Reason string
 }
 
-// smoothing is the weight of a new pause in a tool's expected pause.
+// smoothing is the weight of a new observation in the moving average of a tool's pauses.
 const smoothing = 0.2
 
-// firstPause is the expected pause of a tool that was not seen before.
-const firstPause = 2 * time.Second
+// initialPause is the expected pause for a tool that has not been observed yet.
+const initialPause = 2 * time.Second
 
-// pressureHigh is the share of an engine's memory in use from which long pauses lose their prefix.
-const pressureHigh = 0.9
+// highPressure is the share of an engine's memory in use at or above which prefixes are released during long pauses.
+const highPressure = 0.9
 
-// prefix is what is known of a live program's memory: tokens are in the engine's memory, context is the whole conversation.
+// prefix is the state of a program's prefix.
 type prefix struct {
+	// endpoint is the endpoint that last ran the program.
 	endpoint string
-	tokens   int
-	context  int
-	at       time.Duration
-	tool     string
+	// tokens is the number of tokens in the endpoint's memory, context the length of the whole conversation in tokens.
+	tokens  int
+	context int
+	// at is the time of the program's last event.
+	at time.Duration
+	// tool is the tool that the program waits for, or empty.
+	tool string
 }
 
-// Keeper knows which endpoint holds which program's prefix; it is a state machine without locks.
+// Keeper tracks which endpoint holds which program's prefix and decides when to release it. Its methods take events and
+// return the orders that follow from them. It has no locks; the caller serializes access.
 type Keeper struct {
 	preset   hgpreset.Preset
 	prefixes map[string]prefix
-	pauses   map[string]time.Duration
+	// expectedPauses holds the moving average of pauses by tool.
+	expectedPauses map[string]time.Duration
+	// pressure holds the share of memory in use by endpoint.
 	pressure map[string]float64
 }
 
-// NewKeeper returns a keeper that knows no prefix.
+// NewKeeper returns a Keeper without prefixes.
 func NewKeeper(p hgpreset.Preset) *Keeper {
-	return &Keeper{preset: p, prefixes: map[string]prefix{}, pauses: map[string]time.Duration{}, pressure: map[string]float64{}}
+	return &Keeper{preset: p, prefixes: map[string]prefix{}, expectedPauses: map[string]time.Duration{}, pressure: map[string]float64{}}
 }
 
-// SetPreset changes the limits.
+// SetPreset sets the limits on pauses and silence.
 func (k *Keeper) SetPreset(p hgpreset.Preset) { k.preset = p }
 
-// Home returns the endpoint that holds a program's prefix and its length in tokens.
+// Home returns the endpoint that last ran a program and the number of the program's tokens that it still holds.
 func (k *Keeper) Home(program string) (endpoint string, tokens int, ok bool) {
 	p, ok := k.prefixes[program]
 	return p.endpoint, p.tokens, ok
 }
 
-// Ran tells that a model call of a program ended on an endpoint, which now holds so many tokens.
-// A prefix left on another endpoint is released.
+// Ran records that a model call of a program ended on an endpoint, which now holds the given number of tokens. A prefix
+// on another endpoint is released.
 func (k *Keeper) Ran(program, endpoint string, tokens int, now time.Duration) (orders []Order) {
 	if old, ok := k.prefixes[program]; ok && old.endpoint != endpoint && old.tokens > 0 {
 		orders = append(orders, Order{Program: program, Endpoint: old.endpoint, Action: Release, Reason: "moved"})
@@ -75,7 +83,8 @@
 	return orders
 }
 
-// Paused tells that a program waits for a tool and returns what becomes of its prefix.
+// Paused records that a program waits for a tool. The prefix is released if the pause is expected to be longer than the
+// preset's limit and the endpoint's memory is nearly full.
 func (k *Keeper) Paused(program, tool string, now time.Duration) (orders []Order) {
 	p, ok := k.prefixes[program]
 	if !ok {
@@ -83,45 +92,46 @@
 	}
 	p.tool, p.at = tool, now
 	k.prefixes[program] = p
-	if k.decide(p) == Hold || p.tokens == 0 {
+	if k.pauseAction(p) == Hold || p.tokens == 0 {
 		return nil
 	}
 	k.Evicted(program, p.endpoint, 0)
 	return []Order{{Program: program, Endpoint: p.endpoint, Action: Release, Reason: "longPause"}}
 }
 
-func (k *Keeper) decide(p prefix) Action {
-	expected, ok := k.pauses[p.tool]
+// pauseAction decides whether a prefix is held during a pause.
+func (k *Keeper) pauseAction(p prefix) Action {
+	expected, ok := k.expectedPauses[p.tool]
 	if !ok {
-		expected = firstPause
+		expected = initialPause
 	}
 	long := expected > time.Duration(k.preset.HoldMs)*time.Millisecond
-	if long && k.pressure[p.endpoint] >= pressureHigh {
+	if long && k.pressure[p.endpoint] >= highPressure {
 		return Release
 	}
 	return Hold
 }
 
-// Resumed tells that a program goes on after a pause, from which the tool's expected pause is learned.
+// Resumed records the end of a program's pause and updates the tool's expected pause.
 func (k *Keeper) Resumed(program string, now time.Duration) {
 	p, ok := k.prefixes[program]
 	if !ok || p.tool == "" {
 		return
 	}
 	pause := now - p.at
-	old, seen := k.pauses[p.tool]
+	old, seen := k.expectedPauses[p.tool]
 	if !seen {
 		old = pause
 	}
-	k.pauses[p.tool] = old + time.Duration(smoothing*float64(pause-old))
+	k.expectedPauses[p.tool] = old + time.Duration(smoothing*float64(pause-old))
 	p.tool, p.at = "", now
 	k.prefixes[program] = p
 }
 
-// Pressure tells the share of an endpoint's memory in use.
+// Pressure records the share of an endpoint's memory in use, from 0 to 1.
 func (k *Keeper) Pressure(endpoint string, share float64) { k.pressure[endpoint] = share }
 
-// Evicted tells that an endpoint holds less of a program's prefix.
+// Evicted records that an endpoint holds at most the given number of a program's tokens.
 func (k *Keeper) Evicted(program, endpoint string, tokens int) {
 	p, ok := k.prefixes[program]
 	if !ok || p.endpoint != endpoint {
@@ -131,14 +141,14 @@
 	k.prefixes[program] = p
 }
 
-// EndpointLost tells that an endpoint's memory is gone.
+// EndpointLost records that an endpoint has lost the contents of its memory.
 func (k *Keeper) EndpointLost(endpoint string) {
 	for id := range k.prefixes {
 		k.Evicted(id, endpoint, 0)
 	}
 }
 
-// Ended tells that a program has ended.
+// Ended records the end of a program and releases its prefix.
 func (k *Keeper) Ended(program string) (orders []Order) {
 	p, ok := k.prefixes[program]
 	if !ok {
@@ -151,7 +161,7 @@
 	return []Order{{Program: program, Endpoint: p.endpoint, Action: Release, Reason: "ended"}}
 }
 
-// Tick releases the prefixes of programs that have been silent for too long.
+// Tick releases the prefixes of programs that have had no event for longer than the preset's silence limit.
 func (k *Keeper) Tick(now time.Duration) (orders []Order) {
 	limit := time.Duration(k.preset.SilenceMs) * time.Millisecond
 	for id, p := range k.prefixes {
@@ -163,7 +173,7 @@
 	return orders
 }
 
-// Found tells that an endpoint holds tokens of a program; live says that the program exists and has not ended,
+// Found records that an endpoint reports tokens of a program. live means that the program exists and has not ended,
 // running that it has a call in progress. Memory that no live program will use is released.
 func (k *Keeper) Found(program, endpoint string, tokens int, live, running bool, now time.Duration) (orders []Order) {
 	p, known := k.prefixes[program]
@@ -181,7 +191,8 @@
 	return nil
 }
 
-// Holds tells all that an endpoint holds: prefixes that it was thought to hold and does not are forgotten.
+// Holds records the complete contents of an endpoint's memory, in tokens by program. Prefixes missing from it count as
+// evicted.
 func (k *Keeper) Holds(endpoint string, tokens map[string]int) {
 	for id, p := range k.prefixes {
 		if p.endpoint == endpoint {
@@ -190,8 +201,8 @@
 	}
 }
 
-// Demand adds the conversations of the live programs to sum, by the endpoint that last ran them, in tokens.
-// What was evicted counts too, as it comes back with the program's next call.
+// Demand adds the conversation lengths of the live programs, in tokens, to sum by the endpoint that last ran them.
+// Evicted tokens count too, because they return to memory with the program's next call.
 func (k *Keeper) Demand(sum map[string]int) {
 	for _, p := range k.prefixes {
 		sum[p.endpoint] += p.context
--- a/hgretain/keeper_test.go
+++ b/hgretain/keeper_test.go
@@ -9,7 +9,7 @@
 	"hyssopgrade/hgpreset"
 )
 
-// keeper returns a keeper that knows program p with 500 tokens on endpoint e, whose tool "slow" pauses for a minute.
+// keeper returns a Keeper with program p, which has 500 tokens on endpoint e and has paused for a minute for tool "slow".
 func keeper() *Keeper {
 	p := hgpreset.Shipped()["peak"]
 	p.HoldMs, p.SilenceMs = 30_000, 100_000
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestHome follows what is known of a prefix through eviction and the loss of its endpoint.
+// TestHome checks that evictions and the loss of an endpoint reduce a prefix's tokens but not the program's memory demand.
 func TestHome(t *testing.T) {
 	tests := map[string]struct {
 		event func(k *Keeper)
