--- a/hgquarantine/doc.go
+++ b/hgquarantine/doc.go
@@ -1,3 +1,3 @@
-// Package hgquarantine finds requests that crash the endpoints that run them, and keeps copies of unproven requests
-// from running at once.
+// Package hgquarantine detects requests that crash the endpoints that run them, and prevents copies of a request from
+// running concurrently until the request has proven harmless.
 package hgquarantine
--- a/hgquarantine/list.go
+++ b/hgquarantine/list.go
@@ -6,51 +6,53 @@
 	"github.com/samber/lo"
 )
 
-// Verdict says how a request may run.
+// Verdict tells how a request may run.
 type Verdict string
 
-// The verdicts.
+// Verdicts, from the least to the most restrictive.
 const (
-	// Free requests run beside others.
+	// Free requests may share an endpoint with other requests.
 	Free Verdict = "free"
-	// Alone requests run only on an endpoint that runs nothing else.
+	// Alone requests run only on an endpoint that runs no other request.
 	Alone Verdict = "alone"
 	// Refused requests do not run.
 	Refused Verdict = "refused"
 )
 
-// Suspect is a request, by its digest, that was running when an endpoint died.
+// Suspect is a request that was running when an endpoint died, identified by its digest. Nodes exchange suspects.
 type Suspect struct {
 	Digest string `json:"digest"`
-	// Deaths counts the endpoints that died under it.
+	// Deaths is the number of endpoint deaths attributed to the request.
 	Deaths int `json:"deaths"`
-	// Cleared says that it ran to its end since.
+	// Cleared means that the request has since run to completion.
 	Cleared bool `json:"cleared"`
-	// Age is the time since the last change.
+	// Age is the time since the entry last changed. It is not a time stamp because the nodes' clocks are not comparable.
 	Age time.Duration `json:"age"`
 }
 
-// maxDeaths is the number of endpoint deaths after which a request no longer runs.
+// maxDeaths is the number of endpoint deaths at which a request is refused.
 const maxDeaths = 2
 
 type entry struct {
 	deaths  int
 	cleared bool
-	at      time.Duration
+	// at is the time of the last change.
+	at time.Duration
 }
 
-// List is the state machine without locks; entries are kept for a time and then dropped.
+// List holds the suspects by digest and drops entries that have not changed for a given time. It has no locks; the caller
+// serializes access.
 type List struct {
 	keep    time.Duration
 	entries map[string]entry
 }
 
-// NewList returns an empty list that keeps entries for the given time.
+// NewList returns an empty List that keeps entries for the given time after their last change.
 func NewList(keep time.Duration) *List {
 	return &List{keep: keep, entries: map[string]entry{}}
 }
 
-// Check returns how a request may run.
+// Check returns how the request with the given digest may run.
 func (l *List) Check(digest string) Verdict {
 	e, ok := l.entries[digest]
 	switch {
@@ -62,8 +64,8 @@
 	return Alone
 }
 
-// Died tells that an endpoint died while it ran the request, and returns the changed suspect.
-// Beside others the request may be innocent, so that only a death while it ran alone adds to an earlier one.
+// Died records that an endpoint died while it ran the request, and returns the changed suspect. If other requests ran on
+// the endpoint, any of them may have caused the death; such a death counts only if it is the request's first.
 func (l *List) Died(digest string, alone bool, now time.Duration) Suspect {
 	e := l.entries[digest]
 	if alone || e.deaths == 0 {
@@ -75,7 +77,7 @@
 	return Suspect{Digest: digest, Deaths: e.deaths}
 }
 
-// Finished tells that the request ran to its end; ok says that this cleared a suspect.
+// Finished records that the request ran to completion; ok reports whether this cleared a suspect, which s then describes.
 func (l *List) Finished(digest string, now time.Duration) (s Suspect, ok bool) {
 	e, found := l.entries[digest]
 	if !found || e.cleared {
@@ -85,7 +87,8 @@
 	return Suspect{Digest: digest, Cleared: true}, true
 }
 
-// Merge takes in what a peer knows; the newer entry wins, and of two that are equally new the one with more deaths.
+// Merge merges the suspects of a peer. An entry replaces an older or equally old one; if neither is cleared, the higher
+// number of deaths is kept.
 func (l *List) Merge(suspects []Suspect, now time.Duration) {
 	for _, s := range suspects {
 		e, ok := l.entries[s.Digest]
@@ -100,7 +103,7 @@
 	}
 }
 
-// Suspects returns the entries and drops those that are older than the list keeps.
+// Suspects drops the expired entries and returns the others.
 func (l *List) Suspects(now time.Duration) []Suspect {
 	l.entries = lo.OmitBy(l.entries, func(_ string, e entry) bool { return now-e.at > l.keep })
 	return lo.MapToSlice(l.entries, func(d string, e entry) Suspect {
--- a/hgquarantine/turns.go
+++ b/hgquarantine/turns.go
@@ -9,47 +9,50 @@
 // Key is a hash of a request's digest.
 type Key uint64
 
-// Holder is a hash that names one copy of a request.
+// Holder is a hash that identifies one copy of a request.
 type Holder uint64
 
 // KeyOf returns the key of a digest.
 func KeyOf(digest string) Key { return Key(xxhash.Sum64String(digest)) }
 
-// HolderOf returns the name of the copy that a run of a node executes for a request of a program.
+// HolderOf returns the holder for the copy of a program's request that one run of a node executes.
 func HolderOf(run, program, request string) Holder {
 	return Holder(xxhash.Sum64String(run + " " + program + " " + request))
 }
 
-// exclusiveFor is the time after which a request that is neither proven nor ended lets the next copy run.
+// exclusiveFor is the time after which the next copy of a request may run although the previous one has neither ended nor
+// proven the request.
 const exclusiveFor = 2 * time.Second
 
-// maxProven bounds the proven requests of one generation.
+// maxProven is the greatest number of proven requests in one generation.
 const maxProven = 8192
 
+// run is the copy of a request that is running, and the time at which it entered.
 type run struct {
 	holder Holder
 	since  time.Duration
 }
 
-// Turns lets the copies of a request run one after the other until one has proven harmless, so that copies which are sent
-// at once do not take an endpoint each. It is a state machine without locks.
+// Turns serializes the copies of a request until one of them has proven harmless. Otherwise copies of a crashing request
+// that are sent at the same time would each crash an endpoint. It has no locks; the caller serializes access.
 type Turns struct {
 	running map[Key]run
-	// proven and older are two generations of requests that need no turn.
+	// proven and older are two generations of requests whose copies may run concurrently. When proven is full, it replaces
+	// older, which bounds the memory.
 	proven map[Key]bool
 	older  map[Key]bool
 }
 
-// NewTurns returns turns without any copy.
+// NewTurns returns a Turns without running copies or proven requests.
 func NewTurns() *Turns {
 	return &Turns{running: map[Key]run{}, proven: map[Key]bool{}}
 }
 
-// Proven tells whether a copy of the request has run without harm.
+// Proven reports whether a copy of the request has run without crashing its endpoint.
 func (t *Turns) Proven(k Key) bool { return t.proven[k] || t.older[k] }
 
-// Enter tells whether a copy may run now. It may when the request is proven, or when no other copy has entered
-// less than exclusiveFor ago and not left.
+// Enter reports whether a copy may run now, and records it as running. It may run if the request is proven, or if no other
+// copy that entered less than exclusiveFor ago is still running.
 func (t *Turns) Enter(k Key, h Holder, now time.Duration) (ok bool) {
 	if t.Proven(k) {
 		return true
@@ -62,7 +65,7 @@
 	return true
 }
 
-// Leave ends a copy's turn; proven tells that it has run without harm.
+// Leave records that a copy no longer excludes others; proven means that its endpoint has not crashed.
 func (t *Turns) Leave(k Key, h Holder, proven bool) {
 	if t.running[k].holder == h {
 		delete(t.running, k)
@@ -77,13 +80,13 @@
 	t.proven[k] = true
 }
 
-// Refute forgets that a request was proven: an endpoint died under it.
+// Refute removes a request from the proven ones, after an endpoint died while it ran the request.
 func (t *Turns) Refute(k Key) {
 	delete(t.proven, k)
 	delete(t.older, k)
 }
 
-// Tick forgets the copies that have entered too long ago to keep others out.
+// Tick drops the copies that entered at least exclusiveFor ago, because they no longer exclude others.
 func (t *Turns) Tick(now time.Duration) {
 	for k, r := range t.running {
 		if now-r.since >= exclusiveFor {
--- a/hgquarantine/turns_test.go
+++ b/hgquarantine/turns_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestProvenIsBounded proves more requests than are remembered: the last ones stay.
+// TestProvenIsBounded guards against unbounded memory for proven requests: with more of them than two generations hold,
+// only the latest stay.
 func TestProvenIsBounded(t *testing.T) {
 	turns := NewTurns()
 	for i := range 5 * maxProven {
