--- a/hgbound/doc.go
+++ b/hgbound/doc.go
@@ -1,2 +1,2 @@
-// Package hgbound checks that values of settings are within their ranges.
+// Package hgbound checks that numeric settings are within their ranges.
 package hgbound
