--- a/hgretry/doc.go
+++ b/hgretry/doc.go
@@ -1,2 +1,2 @@
-// Package hgretry bounds retries to a share of recent calls.
+// Package hgretry implements a retry budget: retries are limited to a share of recent calls, which prevents retry storms.
 package hgretry
