--- a/hgtimer/doc.go
+++ b/hgtimer/doc.go
@@ -1,2 +1,2 @@
-// Package hgtimer provides the timer service that all periodic and delayed work subscribes to.
+// Package hgtimer provides the monotonic clock and the timers for periodic and delayed work.
 package hgtimer
--- a/hgtimer/timer.go
+++ b/hgtimer/timer.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Timer tells monotonic time and runs subscribed functions.
+// Timer is a monotonic clock that runs functions periodically or after a delay.
 type Timer interface {
-	// Now returns the time since the timer was made; it never goes back.
+	// Now returns the time since the timer was created; it never decreases.
 	Now() time.Duration
-	// Every runs fn once per period until the returned function is called; runs of one subscription never overlap.
+	// Every runs fn once per period until stop is called. Runs of the same fn never overlap.
 	Every(period time.Duration, fn func(now time.Duration)) (stop func())
-	// After runs fn once after d unless the returned function is called first.
+	// After runs fn once after d unless stop is called first.
 	After(d time.Duration, fn func(now time.Duration)) (stop func())
-	// String names the implementation.
+	// String returns the name of the implementation.
 	String() string
 }
 
-// Service is the Timer over the process's monotonic clock.
+// Service is the Timer that uses the process's monotonic clock.
 type Service struct {
 	start  time.Time
 	ctx    context.Context
@@ -26,16 +26,16 @@
 	wg     sync.WaitGroup
 }
 
-// NewService returns a running timer service.
+// NewService returns a Service whose clock starts at 0; Close stops it.
 func NewService() *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Service{start: time.Now(), ctx: ctx, cancel: cancel}
 }
 
-// Now returns the monotonic time since the service was made.
+// Now returns the monotonic time since the service was created.
 func (s *Service) Now() time.Duration { return time.Since(s.start) }
 
-// Every runs fn once per period on a goroutine of its own.
+// Every runs fn once per period on a separate goroutine.
 func (s *Service) Every(period time.Duration, fn func(now time.Duration)) (stop func()) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.wg.Go(func() {
@@ -53,7 +53,7 @@
 	return cancel
 }
 
-// After runs fn once after d on a goroutine of its own.
+// After runs fn once after d on a separate goroutine.
 func (s *Service) After(d time.Duration, fn func(now time.Duration)) (stop func()) {
 	t := time.AfterFunc(d, func() {
 		if s.ctx.Err() == nil {
@@ -63,11 +63,11 @@
 	return func() { t.Stop() }
 }
 
-// Close stops all subscriptions and waits for periodic runs in progress.
+// Close stops all timers and waits for periodic functions in progress, but not for those started by After.
 func (s *Service) Close() {
 	s.cancel()
 	s.wg.Wait()
 }
 
-// String names the implementation.
+// String returns the name of the implementation.
 func (s *Service) String() string { return "monotonic" }
