--- a/internal/operate/hgfigure/doc.go
+++ b/internal/operate/hgfigure/doc.go
@@ -1,2 +1,2 @@
-// Package hgfigure collects counters and times by tally, logs them in intervals and serves them as text.
+// Package hgfigure collects the counters, gauges and latencies of an entry VM, logs them periodically and writes them as text.
 package hgfigure
--- a/internal/operate/hgfigure/figures.go
+++ b/internal/operate/hgfigure/figures.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// reportEvery is the period in which tally hands over counters.
-	reportEvery = time.Second
-	// logEvery is the period of the log line with all figures of the period.
-	logEvery = 5 * time.Second
-	// maxTime is the longest time that is told apart.
-	maxTime = time.Minute
-	// digits is the precision of the times.
-	digits = 2
+	// reportInterval is how often tally reports counters and gauges to Figures.
+	reportInterval = time.Second
+	// logInterval is the shortest time between two log lines with counters and latencies.
+	logInterval = 5 * time.Second
+	// maxDuration is the upper limit of the histograms; longer durations are recorded as this one.
+	maxDuration = time.Minute
+	// significantDigits is the precision of the histograms, in decimal digits.
+	significantDigits = 2
 )
 
-// Figures are the counters and times of one process; they are safe for concurrent use.
+// Figures holds the metrics of one process. It receives them from tally as its reporter and is safe for concurrent use.
 type Figures struct {
 	log    *slog.Logger
 	scope  tally.Scope
@@ -33,107 +33,109 @@
 	mu     sync.Mutex
 	counts map[string]int64
 	gauges map[string]float64
-	// total holds the times since the start, and recent those since the last log line.
+	// total holds the durations since the start in microseconds, and recent those since the last log line.
 	total, recent map[string]*hdrhistogram.Histogram
-	logged        time.Time
+	// lastLog is the time of the last log line.
+	lastLog time.Time
 }
 
-// NewFigures returns empty figures.
+// NewFigures returns an empty set of metrics and starts their reporting, which lasts until Close.
 func NewFigures(log *slog.Logger) *Figures {
 	f := &Figures{
-		log: log, counts: map[string]int64{}, gauges: map[string]float64{}, logged: time.Now(),
+		log: log, counts: map[string]int64{}, gauges: map[string]float64{}, lastLog: time.Now(),
 		total: map[string]*hdrhistogram.Histogram{}, recent: map[string]*hdrhistogram.Histogram{},
 	}
-	f.scope, f.closer = tally.NewRootScope(tally.ScopeOptions{Reporter: f}, reportEvery)
+	f.scope, f.closer = tally.NewRootScope(tally.ScopeOptions{Reporter: f}, reportInterval)
 	return f
 }
 
-// Count adds one to a counter.
+// Count adds one to the counter of the given name.
 func (f *Figures) Count(name string) { f.scope.Counter(name).Inc(1) }
 
-// Observe records a time.
+// Observe records one duration, such as the latency of a request.
 func (f *Figures) Observe(name string, d time.Duration) { f.scope.Timer(name).Record(d) }
 
-// Set sets a gauge.
+// Set sets the gauge of the given name.
 func (f *Figures) Set(name string, v float64) { f.scope.Gauge(name).Update(v) }
 
-// Close ends the reports.
+// Close reports what is pending and stops the reporting.
 func (f *Figures) Close() error { return f.closer.Close() }
 
-// ReportCounter takes a counter's growth.
+// ReportCounter adds the increment of a counter since the last report; called by tally.
 func (f *Figures) ReportCounter(name string, _ map[string]string, value int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts[name] += value
 }
 
-// ReportGauge takes a gauge.
+// ReportGauge stores the value of a gauge; called by tally.
 func (f *Figures) ReportGauge(name string, _ map[string]string, value float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gauges[name] = value
 }
 
-// ReportTimer takes a time.
+// ReportTimer records a duration in both histograms of its name; called by tally.
 func (f *Figures) ReportTimer(name string, _ map[string]string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, of := range []map[string]*hdrhistogram.Histogram{f.total, f.recent} {
-		h, ok := of[name]
+	for _, byName := range []map[string]*hdrhistogram.Histogram{f.total, f.recent} {
+		h, ok := byName[name]
 		if !ok {
-			h = hdrhistogram.New(1, maxTime.Microseconds(), digits)
-			of[name] = h
+			h = hdrhistogram.New(1, maxDuration.Microseconds(), significantDigits)
+			byName[name] = h
 		}
-		if err := h.RecordValue(min(d, maxTime).Microseconds()); err != nil {
-			f.log.Debug("time not recorded", "name", name, "error", err)
+		if err := h.RecordValue(min(d, maxDuration).Microseconds()); err != nil {
+			f.log.Debug("duration not recorded in histogram", "name", name, "error", err)
 		}
 	}
 }
 
-// ReportHistogramValueSamples is not used: times are told apart by ReportTimer.
+// ReportHistogramValueSamples does nothing: no tally histograms are used, ReportTimer builds its own.
 func (f *Figures) ReportHistogramValueSamples(string, map[string]string, tally.Buckets, float64, float64, int64) {
 }
 
-// ReportHistogramDurationSamples is not used: times are told apart by ReportTimer.
+// ReportHistogramDurationSamples does nothing: no tally histograms are used, ReportTimer builds its own.
 func (f *Figures) ReportHistogramDurationSamples(string, map[string]string, tally.Buckets, time.Duration, time.Duration, int64) {
 }
 
-// Capabilities says that figures are reported, without tags.
+// Capabilities tells tally that Figures accepts reports without tags.
 func (f *Figures) Capabilities() tally.Capabilities { return f }
 
-// Reporting says that figures are reported.
+// Reporting returns true: Figures accepts reports.
 func (f *Figures) Reporting() bool { return true }
 
-// Tagging says that tags are not kept.
+// Tagging returns false: the tags of metrics are ignored.
 func (f *Figures) Tagging() bool { return false }
 
-// Flush logs the figures of the last period when it has passed.
+// Flush logs latencies and counters if logInterval has passed since the last log line; tally calls it after each report.
+// Latencies are those since the last line, as COUNT:P50/P95/MAX in milliseconds; counters are sums since the start.
 func (f *Figures) Flush() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if now.Sub(f.logged) < logEvery {
+	if now.Sub(f.lastLog) < logInterval {
 		return
 	}
-	f.logged = now
+	f.lastLog = now
 	var args []any
 	for _, name := range slices.Sorted(maps.Keys(f.recent)) {
 		h := f.recent[name]
 		if h.TotalCount() == 0 {
 			continue
 		}
-		args = append(args, name, fmt.Sprintf("%d:%.1f/%.1f/%.1f", h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(95)), ms(h.Max())))
+		args = append(args, name, fmt.Sprintf("%d:%.1f/%.1f/%.1f", h.TotalCount(), toMillis(h.ValueAtQuantile(50)), toMillis(h.ValueAtQuantile(95)), toMillis(h.Max())))
 		h.Reset()
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.counts)) {
 		args = append(args, name, f.counts[name])
 	}
-	f.log.Info("figures", args...)
+	f.log.Info("metrics", args...)
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func toMillis(micros int64) float64 { return float64(micros) / 1000 }
 
-// Write writes all figures as text, times in seconds.
+// Write writes all metrics since the start in the Prometheus text format, durations in seconds.
 func (f *Figures) Write(w io.Writer) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +152,7 @@
 	for _, name := range slices.Sorted(maps.Keys(f.total)) {
 		h := f.total[name]
 		for _, q := range []float64{50, 95, 99} {
-			if _, err := fmt.Fprintf(w, "hyssopgrade_%s_seconds{quantile=\"%g\"} %g\n", name, q/100, ms(h.ValueAtQuantile(q))/1000); err != nil {
+			if _, err := fmt.Fprintf(w, "hyssopgrade_%s_seconds{quantile=\"%g\"} %g\n", name, q/100, toMillis(h.ValueAtQuantile(q))/1000); err != nil {
 				return err
 			}
 		}
