--- a/internal/operate/hgmetric/doc.go
+++ b/internal/operate/hgmetric/doc.go
@@ -1,2 +1,2 @@
-// Package hgmetric counts what a node does and serves the figures in the Prometheus text format.
+// Package hgmetric collects the metrics of a node and serves them in the Prometheus text format.
 package hgmetric
--- a/internal/operate/hgmetric/metric.go
+++ b/internal/operate/hgmetric/metric.go
@@ -14,35 +14,35 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// reportEvery is the period in which figures are handed to the reporter.
-const reportEvery = time.Second
+// reportInterval is how often tally reports metrics to the Prometheus registry.
+const reportInterval = time.Second
 
-// Metrics are the figures of one node; they are safe for concurrent use.
+// Metrics holds the metrics of one node; it is safe for concurrent use.
 type Metrics struct {
 	scope   tally.Scope
 	closer  io.Closer
 	handler http.Handler
 }
 
-// New returns empty figures.
+// New returns empty metrics that carry the name of the node as a label.
 func New(node string) (m *Metrics, err error) {
 	defer func() { err = trace.Wrap(err, "metrics") }()
 	reg := prom.NewRegistry()
-	var failed error
+	var registerErr error
 	rep := prometheus.NewReporter(prometheus.Options{
 		Registerer: reg, Gatherer: reg,
-		OnRegisterError: func(err error) { failed = err },
+		OnRegisterError: func(err error) { registerErr = err },
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "hyssopgrade", Tags: map[string]string{"node": node}, CachedReporter: rep, Separator: prometheus.DefaultSeparator,
-	}, reportEvery)
-	return &Metrics{scope: scope, closer: closer, handler: rep.HTTPHandler()}, failed
+	}, reportInterval)
+	return &Metrics{scope: scope, closer: closer, handler: rep.HTTPHandler()}, registerErr
 }
 
-// buckets are the bounds of the time histograms.
+// buckets are the upper bounds of the duration histograms: 18 steps from 1 ms, each twice the one before.
 var buckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 18)
 
-// CallDone counts a call by kind, state and reason, and the parts of its time.
+// CallDone counts a finished call by kind, state and reason, and records its total duration and that of its phases.
 func (m *Metrics) CallDone(c hgcall.Call, r hgcall.Result, t hgowner.Times) {
 	s := m.scope.Tagged(map[string]string{"kind": string(c.Kind), "state": string(r.State), "reason": string(r.Reason)})
 	s.Counter("calls").Inc(1)
@@ -53,19 +53,19 @@
 	k.Histogram("call_seconds", buckets).RecordDuration(t.Total)
 }
 
-// Retried counts one retry.
+// Retried counts one retry of a call.
 func (m *Metrics) Retried() { m.scope.Counter("retries").Inc(1) }
 
-// Refused counts a refusal by kind and reason.
+// Refused counts a refused call by the kind and the reason of the refusal.
 func (m *Metrics) Refused(r *hgcall.Refusal) {
 	m.scope.Tagged(map[string]string{"refusal": string(r.Kind), "reason": string(r.Reason)}).Counter("refusals").Inc(1)
 }
 
-// Set sets a gauge.
+// Set sets the gauge of the given name.
 func (m *Metrics) Set(name string, v float64) { m.scope.Gauge(name).Update(v) }
 
-// Handler serves the figures.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close stops the reports.
+// Close reports what is pending and stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
