--- a/internal/operate/hglog/doc.go
+++ b/internal/operate/hglog/doc.go
@@ -1,2 +1,2 @@
-// Package hglog makes the structured logger of a process.
+// Package hglog provides the structured logger of a process and a non-blocking writer for its output.
 package hglog
--- a/internal/operate/hglog/log.go
+++ b/internal/operate/hglog/log.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// New returns a logger to w; format is text or json, level is debug, info, warn or error.
+// New returns a logger that writes to w. The format is text or json; the level is debug, info, warn or error.
 func New(w io.Writer, format, level string) (l *slog.Logger, err error) {
 	defer func() { err = trace.Wrap(err, "log settings") }()
 	var lv slog.Level
--- a/internal/operate/hglog/writer.go
+++ b/internal/operate/hglog/writer.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// flushAfter is the longest time that a line waits for further ones.
-	flushAfter = 200 * time.Millisecond
-	// bufferBytes is the size of the writes to the output.
+	// flushDelay is the longest time for which a line is buffered to be written together with later ones.
+	flushDelay = 200 * time.Millisecond
+	// bufferBytes is the size of the buffer in front of the output; a full buffer is written at once.
 	bufferBytes = 32 << 10
 )
 
-// Writer passes lines on in the background and never blocks: while the output does not keep up, lines are dropped,
-// counted and, once it does again, reported in a line of their own.
+// Writer queues lines and writes them to its output in the background, so that logging never blocks. While the queue is
+// full, lines are dropped and counted; the count is logged in a line of its own before the next line written.
 type Writer struct {
-	lines   chan []byte
+	queue   chan []byte
 	dropped atomic.Int64
 	done    sync.WaitGroup
 }
 
-// NewWriter returns a writer that holds up to a number of lines.
+// NewWriter returns a writer to w with a queue of the given number of lines.
 func NewWriter(w io.Writer, lines int) *Writer {
-	a := &Writer{lines: make(chan []byte, lines)}
+	a := &Writer{queue: make(chan []byte, lines)}
 	a.done.Go(func() { a.run(bufio.NewWriterSize(w, bufferBytes)) })
 	return a
 }
 
-// Write takes one line.
+// Write queues a copy of one line, or drops it if the queue is full; it never returns an error.
 func (a *Writer) Write(line []byte) (n int, err error) {
 	select {
-	case a.lines <- append([]byte(nil), line...):
+	case a.queue <- append([]byte(nil), line...):
 	default:
 		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped and not yet reported.
+// Dropped returns the number of dropped lines that are not yet reported in the output.
 func (a *Writer) Dropped() int { return int(a.dropped.Load()) }
 
-// Close writes what is held and ends the writer; nothing may be written after it.
+// Close writes the queued lines and stops the writer. Write must not be called afterwards.
 func (a *Writer) Close() {
-	close(a.lines)
+	close(a.queue)
 	a.done.Wait()
 }
 
 func (a *Writer) run(w *bufio.Writer) {
-	flush := time.NewTimer(flushAfter)
+	flush := time.NewTimer(flushDelay)
 	flush.Stop()
 	pending := false
 	for {
 		select {
-		case line, ok := <-a.lines:
+		case line, ok := <-a.queue:
 			if !ok {
 				_ = w.Flush()
 				return
 			}
-			a.put(w, line)
+			a.writeLine(w, line)
 			if !pending {
 				pending = true
-				flush.Reset(flushAfter)
+				flush.Reset(flushDelay)
 			}
 		case <-flush.C:
 			pending = false
@@ -73,7 +73,8 @@
 	}
 }
 
-func (a *Writer) put(w *bufio.Writer, line []byte) {
+// writeLine writes a line, preceded by a report of the lines dropped since the last one.
+func (a *Writer) writeLine(w *bufio.Writer, line []byte) {
 	if n := a.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 	}
--- a/internal/operate/hglog/writer_test.go
+++ b/internal/operate/hglog/writer_test.go
@@ -9,19 +9,20 @@
 	"hyssopgrade/internal/operate/hglog"
 )
 
-// blocked is an output that takes nothing until it is released.
-type blocked struct {
+// blockedOutput blocks each write until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedOutput) Write(p []byte) (int, error) {
 	<-b.release
 	return b.Buffer.Write(p)
 }
 
+// Guards against log lines that hold up requests while the output of the process is blocked.
 func TestWriterNeverBlocks(t *testing.T) {
-	out := &blocked{release: make(chan struct{})}
+	out := &blockedOutput{release: make(chan struct{})}
 	w := hglog.NewWriter(out, 10)
 	line := []byte(strings.Repeat("x", 8<<10) + "\n")
 	began := time.Now()
@@ -31,7 +32,7 @@
 		}
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("writing took %v", took)
+		t.Errorf("writing to a blocked output took %v", took)
 	}
 	if w.Dropped() == 0 {
 		t.Error("no line was dropped")
