--- a/internal/operate/hgstatus/doc.go
+++ b/internal/operate/hgstatus/doc.go
@@ -1,2 +1,2 @@
-// Package hgstatus is what an entry VM tells operators of itself.
+// Package hgstatus defines the status report of an entry VM, its retrieval over HTTP and its printed form.
 package hgstatus
--- a/internal/operate/hgstatus/status.go
+++ b/internal/operate/hgstatus/status.go
@@ -12,57 +12,60 @@
 	"github.com/gravitational/trace"
 )
 
-// Path is where an entry VM serves its status, on the address of its metrics.
+// Path is the HTTP path of the status report, on the address where an entry VM serves its metrics.
 const Path = "/status"
 
-// Status describes an entry VM at a moment.
+// Status is the status report of an entry VM.
 type Status struct {
 	VM       string `json:"vm"`
 	Domain   string `json:"domain"`
 	Ready    bool   `json:"ready"`
 	Stopping bool   `json:"stopping"`
-	// Running is the number of requests in progress, and Programs of programs in memory.
+	// Running is the number of requests in progress, and Programs the number of programs in memory.
 	Running  int `json:"running"`
 	Programs int `json:"programs"`
-	// StoreOK says that the store answers this VM.
+	// StoreOK reports whether the store answers this VM.
 	StoreOK bool `json:"storeOk"`
-	// Version is that of the desired state in force, 0 if there is none, and InForce how long it has been so.
+	// Version is the version of the desired state in force, 0 if there is none; InForce is the time since it came into
+	// force, in seconds.
 	Version uint64  `json:"version"`
 	InForce float64 `json:"inForceSeconds"`
-	// Placer is the VM that places the requests of this failure domain.
+	// Placer is the VM that assigns replicas to the requests of this failure domain.
 	Placer   string    `json:"placer"`
 	Tables   []Table   `json:"tables"`
 	Services []Service `json:"services"`
 	Peers    []Peer    `json:"peers"`
 }
 
-// Table is a watched table of the store.
+// Table is the watch of one table of the store.
 type Table struct {
 	Name string `json:"name"`
-	// Changed is the version of its newest change, and Failing for how long its watch has failed.
+	// Changed is the version of the last change received, and Failing how long the watch has been failing, in seconds.
 	Changed uint64  `json:"changed"`
 	Failing float64 `json:"failingSeconds"`
 }
 
-// Service is a service with its replicas; Load is the requests on them as a multiple of their slots.
+// Service is a service with its replicas. Load is the number of requests in flight on the replicas, on behalf of any
+// entry VM, divided by the number of their slots.
 type Service struct {
 	Name     string    `json:"name"`
 	Load     float64   `json:"load"`
 	Replicas []Replica `json:"replicas"`
 }
 
-// Replica is a replica; Out says why it gets no requests, or nothing if it does.
+// Replica is the state of one replica as seen by the entry VM. Out is why it is out of rotation, and empty if it is not.
 type Replica struct {
-	ID       string  `json:"id"`
-	Domain   string  `json:"domain"`
-	Out      string  `json:"out,omitempty"`
-	InFlight int     `json:"inFlight"`
+	ID       string `json:"id"`
+	Domain   string `json:"domain"`
+	Out      string `json:"out,omitempty"`
+	InFlight int    `json:"inFlight"`
+	// Failures is the number of recent failures, where older ones weigh less.
 	Failures float64 `json:"failures"`
-	// DelayMs is the usual time to the first byte.
+	// DelayMs is the usual time to the first byte, in milliseconds.
 	DelayMs float64 `json:"delayMs"`
 }
 
-// Peer is another entry VM.
+// Peer is another entry VM as seen by this one.
 type Peer struct {
 	Name    string `json:"name"`
 	Domain  string `json:"domain"`
@@ -71,7 +74,7 @@
 	StoreOK bool   `json:"storeOk"`
 }
 
-// Get asks an entry VM, at the address of its metrics.
+// Get fetches the status of the entry VM that serves its metrics at the address.
 func Get(ctx context.Context, address string) (s Status, err error) {
 	defer func() { err = trace.Wrap(err, "status of %s", address) }()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
@@ -84,12 +87,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, trace.BadParameter("answer %s", resp.Status)
+		return s, trace.BadParameter("entry VM answered with HTTP status %s", resp.Status)
 	}
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// Write prints the status for people.
+// Write prints the status as a table.
 func (s Status) Write(w io.Writer) (err error) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer func() { err = t.Flush() }()
