--- a/internal/operate/hgkey/doc.go
+++ b/internal/operate/hgkey/doc.go
@@ -1,2 +1,2 @@
-// Package hgkey compares keys that callers of a port present.
+// Package hgkey verifies the bearer keys that clients present over HTTP.
 package hgkey
