--- a/internal/operate/hgexplain/doc.go
+++ b/internal/operate/hgexplain/doc.go
@@ -1,2 +1,2 @@
-// Package hgexplain finds the way of a request or a program in the logs of all VMs.
+// Package hgexplain parses the JSON logs of all VMs and selects the lines about a request or a program.
 package hgexplain
--- a/internal/operate/hgexplain/explain.go
+++ b/internal/operate/hgexplain/explain.go
@@ -13,19 +13,20 @@
 	"github.com/gravitational/trace"
 )
 
-// maxLineBytes bounds a log line.
+// maxLineBytes is the longest log line that Read accepts.
 const maxLineBytes = 1 << 20
 
-// Line is a log line that concerns what is looked for.
+// Line is a parsed log line.
 type Line struct {
 	Time time.Time
-	// Source is what stands before the line's object, such as the name of the VM.
+	// Source is the text in front of the JSON object, such as the name of the VM.
 	Source string
 	Msg    string
+	// Fields holds the fields of the object, without time, level and msg.
 	Fields map[string]any
 }
 
-// Read returns the lines of logs that hold an object.
+// Read returns the lines that hold a JSON object with a message, in their order; other lines are skipped.
 func Read(logs io.Reader) (lines []Line, err error) {
 	defer func() { err = trace.Wrap(err, "logs") }()
 	scan := bufio.NewScanner(logs)
@@ -38,8 +39,8 @@
 	return lines, scan.Err()
 }
 
-// Find returns the lines of logs about an attempt or a program, and those about its program if it is an attempt, in
-// the order of time.
+// Find returns the lines about the request attempt or the program with the given identifier, sorted by time. For an
+// attempt it also returns the lines about the program to which the attempt belongs.
 func Find(logs io.Reader, id string) (lines []Line, err error) {
 	all, err := Read(logs)
 	if err != nil {
@@ -52,7 +53,7 @@
 		}
 	}
 	for _, l := range all {
-		if l.concerns(ids) {
+		if l.mentions(ids) {
 			lines = append(lines, l)
 		}
 	}
@@ -60,7 +61,8 @@
 	return lines, nil
 }
 
-func (l Line) concerns(ids map[string]bool) bool {
+// mentions reports whether the line is about one of the attempts or programs in ids.
+func (l Line) mentions(ids map[string]bool) bool {
 	for _, name := range []string{"attempt", "program", "previous"} {
 		if v, ok := l.Fields[name].(string); ok && ids[v] {
 			return true
@@ -69,7 +71,7 @@
 	return false
 }
 
-// parse reads a line that holds a JSON object, with or without a source before it.
+// parse parses a line that ends in a JSON object; ok is false if it has no such object or the object has no message.
 func parse(text string) (l Line, ok bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -80,8 +82,8 @@
 	}
 	l.Source = strings.TrimSpace(text[:start])
 	l.Msg, _ = l.Fields["msg"].(string)
-	if at, ok := l.Fields["time"].(string); ok {
-		l.Time, _ = time.Parse(time.RFC3339Nano, at)
+	if text, ok := l.Fields["time"].(string); ok {
+		l.Time, _ = time.Parse(time.RFC3339Nano, text)
 	}
 	for _, name := range []string{"time", "level", "msg"} {
 		delete(l.Fields, name)
@@ -89,7 +91,7 @@
 	return l, l.Msg != ""
 }
 
-// String returns the line for people.
+// String formats the line as time of day, source, message and the fields that are not empty, sorted by name.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %-22s %s", l.Time.Format("15:04:05.000"), l.Source, l.Msg)
