--- a/internal/operate/hgloss/doc.go
+++ b/internal/operate/hgloss/doc.go
@@ -1,2 +1,2 @@
-// Package hgloss says from the logs of all VMs where programs that were late lost their time.
+// Package hgloss breaks down the time of programs by phase from the logs of all VMs, to show where late programs lost time.
 package hgloss
--- a/internal/operate/hgloss/loss.go
+++ b/internal/operate/hgloss/loss.go
@@ -15,84 +15,90 @@
 	"hyssopgrade/internal/operate/hgexplain"
 )
 
-// End is how a program ended, as far as the logs of the entry VMs tell.
-type End string
+// Outcome is how a program ended, judged by the log line of its last request.
+type Outcome string
 
-// The ends of programs.
+// The outcomes of programs; the values are printed in the table of Write.
 const (
-	// InTime programs had their last answer before their aim.
-	InTime End = "in time"
-	// Late programs had it after their aim.
-	Late End = "late"
-	// Failed programs had no answer to their last request.
-	Failed End = "failed"
-	// Spent programs were stopped by their budget.
-	Spent End = "spent"
+	// InTime programs got their last answer before their deadline.
+	InTime Outcome = "in time"
+	// Late programs got their last answer after their deadline, or had no time left or no deadline at their last request.
+	Late Outcome = "late"
+	// Failed programs got an error as the answer to their last request.
+	Failed Outcome = "failed"
+	// BudgetSpent programs were stopped because their budget was used up.
+	BudgetSpent Outcome = "spent"
 )
 
-// Times split the time of a program's requests. Sub-agents run beside each other, so that their sum may be longer than
-// the program took.
+// Times is the time of a program's requests by phase. Sub-agents run in parallel, so that the sum of the phases may be
+// longer than the program took.
 type Times struct {
-	// Away is the time between a refusal and the next request of the same line of turns.
-	Away time.Duration
-	// Place is the time for which requests waited for a place on a replica.
-	Place time.Duration
-	// Open and Keep are the time for the state of the program before and after its turns.
-	Open, Keep time.Duration
-	// Read is what the parts of prompts take that no replica was believed to keep, read by an idle engine.
-	Read time.Duration
-	// Queue is the rest of the time from the send to the first token.
+	// Backoff is the time between a refusal (503) and the next request of the same session.
+	Backoff time.Duration
+	// Placement is the time for which requests waited for a place on a replica.
+	Placement time.Duration
+	// StateOpen is the time for opening turns in the ledger before they are sent, and StateSave that for saving them
+	// afterwards.
+	StateOpen, StateSave time.Duration
+	// Prefill is an estimate: the time in which an idle engine reads the prompt tokens that were not expected to be in
+	// the replica's cache.
+	Prefill time.Duration
+	// Queue is the remaining time from the dispatch of requests to the head of their answers.
 	Queue time.Duration
-	// Decode is the time from the first token to the last.
+	// Decode is the time from the head of answers to their end.
 	Decode time.Duration
-	// Tools is the time of the calls of plain services.
+	// Tools is the time of the requests that are no turns: calls of tools and other plain services.
 	Tools time.Duration
 }
 
 func (t Times) plus(u Times) Times {
 	return Times{
-		Away: t.Away + u.Away, Open: t.Open + u.Open, Keep: t.Keep + u.Keep, Read: t.Read + u.Read,
-		Queue: t.Queue + u.Queue, Place: t.Place + u.Place, Decode: t.Decode + u.Decode, Tools: t.Tools + u.Tools,
+		Backoff: t.Backoff + u.Backoff, StateOpen: t.StateOpen + u.StateOpen, StateSave: t.StateSave + u.StateSave,
+		Prefill: t.Prefill + u.Prefill, Queue: t.Queue + u.Queue, Placement: t.Placement + u.Placement,
+		Decode: t.Decode + u.Decode, Tools: t.Tools + u.Tools,
 	}
 }
 
-// Program is one program of the logs.
+// Program is the summary of one program found in the logs.
 type Program struct {
 	ID string
-	// Route is that of its first turn.
-	Route string
-	End   End
-	// Over is by how much it missed its aim; negative for one in time.
-	Over    time.Duration
+	// Route is the route of the first turn, or of the last request if there was no turn.
+	Route   string
+	Outcome Outcome
+	// Overrun is the time by which the program missed its deadline; negative if it was in time.
+	Overrun time.Duration
 	Turns   int
-	Refused int
-	Times   Times
+	// Refusals is the number of requests answered with 503.
+	Refusals int
+	Times    Times
 }
 
-// readPerToken is the time in which an idle engine reads a token; the users' engines read about 59 in a millisecond.
-const readPerToken = 17 * time.Microsecond
+// prefillPerToken is the time in which an idle engine reads one prompt token; the engines in use read about 59 a
+// millisecond.
+const prefillPerToken = 17 * time.Microsecond
 
-// Programs splits the time of all programs in the lines of logs.
+// Programs returns the summaries of all programs in the log lines, sorted by identifier.
 func Programs(lines []hgexplain.Line) (programs []Program) {
-	byID := lo.GroupBy(lo.FilterMap(lines, toRequest), func(r request) string { return r.program })
+	byID := lo.GroupBy(lo.FilterMap(lines, parseRequest), func(r request) string { return r.program })
 	for _, id := range slices.Sorted(maps.Keys(byID)) {
-		programs = append(programs, split(id, byID[id]))
+		programs = append(programs, summarize(id, byID[id]))
 	}
 	return programs
 }
 
-func split(id string, requests []request) (p Program) {
+// summarize returns the summary of the program to which the requests belong.
+func summarize(id string, requests []request) (p Program) {
 	slices.SortFunc(requests, func(a, b request) int { return cmp.Compare(a.end.UnixNano(), b.end.UnixNano()) })
 	p = Program{ID: id}
-	refused := map[string]time.Time{}
+	refusedAt := map[string]time.Time{} // by session
 	for _, r := range requests {
-		if at, ok := refused[r.session]; ok && r.start().After(at) {
-			p.Times.Away += r.start().Sub(at)
+		if at, ok := refusedAt[r.session]; ok && r.start().After(at) {
+			p.Times.Backoff += r.start().Sub(at)
 		}
-		delete(refused, r.session)
+		delete(refusedAt, r.session)
 		if r.status == http.StatusServiceUnavailable {
-			refused[r.session] = r.end
-			p.Refused++
+			refusedAt[r.session] = r.end
+			p.Refusals++
 			continue
 		}
 		if r.isTurn {
@@ -102,32 +108,31 @@
 		p.Times = p.Times.plus(r.times())
 	}
 	last := requests[len(requests)-1]
-	p.Over = last.took - last.aimLeft
-	p.End = last.ending()
+	p.Overrun = last.took - last.deadlineLeft
+	p.Outcome = last.outcome()
 	p.Route = cmp.Or(p.Route, last.route)
 	return p
 }
 
-// Group is the programs of a route that ended in one way.
+// Group is the sum over the programs of one route with the same outcome.
 type Group struct {
 	Route    string
-	End      End
+	Outcome  Outcome
 	Programs int
 	Turns    int
-	Refused  int
-	// Times is the sum over the programs.
-	Times Times
+	Refusals int
+	Times    Times
 }
 
-// Groups joins programs by route and end.
+// Groups returns the sums of programs by route and outcome, sorted by both.
 func Groups(programs []Program) (groups []Group) {
-	byKey := lo.GroupBy(programs, func(p Program) [2]string { return [2]string{p.Route, string(p.End)} })
+	byKey := lo.GroupBy(programs, func(p Program) [2]string { return [2]string{p.Route, string(p.Outcome)} })
 	keys := slices.SortedFunc(maps.Keys(byKey), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) })
 	for _, key := range keys {
-		g := Group{Route: key[0], End: End(key[1]), Programs: len(byKey[key])}
+		g := Group{Route: key[0], Outcome: Outcome(key[1]), Programs: len(byKey[key])}
 		for _, p := range byKey[key] {
 			g.Turns += p.Turns
-			g.Refused += p.Refused
+			g.Refusals += p.Refusals
 			g.Times = g.Times.plus(p.Times)
 		}
 		groups = append(groups, g)
@@ -135,7 +140,8 @@
 	return groups
 }
 
-// Write prints groups as a table of means: times in milliseconds a turn.
+// Write prints groups as a table of means: turns and refusals per program, times in milliseconds per turn.
+// Its columns away, open, place, read and keep are Backoff, StateOpen, Placement, Prefill and StateSave.
 func Write(w io.Writer, groups []Group) (err error) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer func() { err = t.Flush() }()
@@ -143,9 +149,9 @@
 	for _, g := range groups {
 		n := max(g.Turns, 1)
 		ms := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(n) }
-		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", g.Route, g.End, g.Programs,
-			float64(g.Turns)/float64(g.Programs), float64(g.Refused)/float64(g.Programs), ms(g.Times.Away), ms(g.Times.Open),
-			ms(g.Times.Place), ms(g.Times.Queue), ms(g.Times.Read), ms(g.Times.Decode), ms(g.Times.Keep), ms(g.Times.Tools))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", g.Route, g.Outcome, g.Programs,
+			float64(g.Turns)/float64(g.Programs), float64(g.Refusals)/float64(g.Programs), ms(g.Times.Backoff), ms(g.Times.StateOpen),
+			ms(g.Times.Placement), ms(g.Times.Queue), ms(g.Times.Prefill), ms(g.Times.Decode), ms(g.Times.StateSave), ms(g.Times.Tools))
 	}
 	return nil
 }
--- a/internal/operate/hgloss/loss_test.go
+++ b/internal/operate/hgloss/loss_test.go
@@ -26,10 +26,10 @@
 	}
 	ms := time.Millisecond
 	want := []hgloss.Program{
-		{ID: "p", Route: "chat", End: hgloss.Late, Over: 200 * ms, Turns: 2, Refused: 1, Times: hgloss.Times{
-			Away: 100 * ms, Open: 5 * ms, Keep: 8 * ms, Read: 17 * ms, Queue: 30 * ms, Decode: 640 * ms, Tools: 50 * ms,
+		{ID: "p", Route: "chat", Outcome: hgloss.Late, Overrun: 200 * ms, Turns: 2, Refusals: 1, Times: hgloss.Times{
+			Backoff: 100 * ms, StateOpen: 5 * ms, StateSave: 8 * ms, Prefill: 17 * ms, Queue: 30 * ms, Decode: 640 * ms, Tools: 50 * ms,
 		}},
-		{ID: "q", Route: "chat", End: hgloss.Spent, Over: -196 * ms, Turns: 1, Times: hgloss.Times{Decode: 4 * ms}},
+		{ID: "q", Route: "chat", Outcome: hgloss.BudgetSpent, Overrun: -196 * ms, Turns: 1, Times: hgloss.Times{Decode: 4 * ms}},
 	}
 	got := hgloss.Programs(lines)
 	if diff := cmp.Diff(want, got); diff != "" {
