--- a/internal/operate/hgtimes/doc.go
+++ b/internal/operate/hgtimes/doc.go
@@ -1,2 +1,2 @@
-// Package hgtimes lists the constants of time in the source, with their values and what their comments say of them.
+// Package hgtimes lists the time constants in the source with their values and comments, and prints them as docs/TIMES.md.
 package hgtimes
--- a/internal/operate/hgtimes/times.go
+++ b/internal/operate/hgtimes/times.go
@@ -17,20 +17,21 @@
 	"github.com/gravitational/trace"
 )
 
-// Constant is a constant of time.
+// Constant is a constant whose value holds a unit of package time.
 type Constant struct {
-	// Package is the folder of its package.
+	// Package is the folder of its package, relative to the root of the source.
 	Package string
 	Name    string
-	// Value is its value as the source gives it.
+	// Value is the expression of the value as it stands in the source.
 	Value string
-	// Comment says what it is for and where it comes from.
+	// Comment is the comment of the constant, in one line.
 	Comment string
 }
 
-// Find returns the constants of time in the source below a folder, but for tests and stand-ins.
+// Find returns the time constants in the source below root, sorted by package. Tests, hidden folders, build output in
+// target folders and the test support in internal/proof are left out.
 func Find(root string) (constants []Constant, err error) {
-	defer func() { err = trace.Wrap(err, "constants of time") }()
+	defer func() { err = trace.Wrap(err, "time constants") }()
 	err = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		rel := filepath.ToSlash(strings.TrimPrefix(path, root+string(filepath.Separator)))
 		switch {
@@ -41,7 +42,7 @@
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
 		}
-		found, err := inFile(path, filepath.ToSlash(filepath.Dir(rel)))
+		found, err := findInFile(path, filepath.ToSlash(filepath.Dir(rel)))
 		constants = append(constants, found...)
 		return err
 	})
@@ -49,7 +50,8 @@
 	return constants, err
 }
 
-func inFile(path, pkg string) (constants []Constant, err error) {
+// findInFile returns the time constants of one file.
+func findInFile(path, pkg string) (constants []Constant, err error) {
 	files := token.NewFileSet()
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -64,24 +66,24 @@
 		if !ok || gen.Tok != token.CONST {
 			continue
 		}
-		// A comment speaks of the constants up to the next one.
+		// A comment applies to its constant and to those after it, up to the next comment.
 		comment := gen.Doc.Text()
 		for _, spec := range gen.Specs {
 			value := spec.(*ast.ValueSpec)
 			if text := value.Doc.Text() + value.Comment.Text(); text != "" {
 				comment = text
 			}
-			constants = append(constants, ofTime(files, pkg, value, comment)...)
+			constants = append(constants, timeConstants(files, pkg, value, comment)...)
 		}
 	}
 	return constants, nil
 }
 
-// ofTime returns the constants of a declaration whose values hold a unit of time.
-func ofTime(files *token.FileSet, pkg string, spec *ast.ValueSpec, comment string) (constants []Constant) {
+// timeConstants returns the constants of a declaration whose values hold a unit of time.
+func timeConstants(files *token.FileSet, pkg string, spec *ast.ValueSpec, comment string) (constants []Constant) {
 	for i, value := range spec.Values {
 		var text strings.Builder
-		if err := printer.Fprint(&text, files, value); err != nil || !holdsUnit(value) {
+		if err := printer.Fprint(&text, files, value); err != nil || !usesTimePackage(value) {
 			continue
 		}
 		constants = append(constants, Constant{
@@ -91,7 +93,8 @@
 	return constants
 }
 
-func holdsUnit(value ast.Expr) (found bool) {
+// usesTimePackage reports whether an expression refers to a name of package time, such as time.Second.
+func usesTimePackage(value ast.Expr) (found bool) {
 	ast.Inspect(value, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok {
 			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" {
@@ -103,7 +106,7 @@
 	return found
 }
 
-// Write prints the constants as a page.
+// Write prints the constants as a Markdown page with a table for each package.
 func Write(w io.Writer, constants []Constant) (err error) {
 	if _, err = io.WriteString(w, "# Constants of time\n\nMade from the source by `hyssopgrade times > docs/TIMES.md`; a test keeps it true. Settings stand in the settings' files.\n"); err != nil {
 		return err
--- a/internal/operate/hgtimes/times_test.go
+++ b/internal/operate/hgtimes/times_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// The page is what the source says, and each constant of time says what it is for.
+// Guards against a docs/TIMES.md that no longer matches the source, and against time constants without a comment.
 func TestPage(t *testing.T) {
 	constants, err := hgtimes.Find(filepath.Join("..", "..", ".."))
 	if err != nil {
@@ -70,6 +70,6 @@
 	}
 	page, err := os.ReadFile("../../../docs/TIMES.md")
 	if diff := cmp.Diff(want.String(), string(page)); diff != "" || err != nil {
-		t.Errorf("docs/TIMES.md is not up to date, see its first lines: %v\n%s", err, diff)
+		t.Errorf("docs/TIMES.md is not up to date, its first lines say how to regenerate it: %v\n%s", err, diff)
 	}
 }
