--- a/scripts/cell.sh
+++ b/scripts/cell.sh
@@ -1,5 +1,7 @@
 #!/usr/bin/env bash
-# Runs a platform, an engine, a tool service and three nodes as separate processes, replays the shipped trace and stops them.
+# Runs an example cell on loopback: three nodes and the stand-ins for the platform, one engine and one tool service, each in
+# a process of its own. Replays a trace through the nodes, switches the preset, prints the status and stops all processes.
+# Usage: scripts/cell.sh [TRACE], the name of a file in internal/proof/hgreplay/traces without .jsonl (default: derwent).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
@@ -14,6 +16,7 @@
 trap cleanup EXIT
 go build -o "$dir/" ./cmd/...
 export HYSSOPGRADE_KEY=${HYSSOPGRADE_KEY:-key-of-the-example-cell}
+# start COMMAND…: runs a command in the background and notes its process for cleanup.
 start() { "$@" 2>>"$dir/log" & pids+=($!); }
 start "$dir/hyssopgradestandin" platform --address 127.0.0.1:7300
 start "$dir/hyssopgradestandin" engine --address 127.0.0.1:7500 --checks-fencing
@@ -25,6 +28,7 @@
   start "$dir/hyssopgrade" node --config "$dir/node-$i.toml"
 done
 nodes=127.0.0.1:7400,127.0.0.1:7410,127.0.0.1:7420
+# Waits about 20 s at most until the nodes own all 64 shards.
 for _ in $(seq 100); do
   sleep 0.2
   owned=$("$dir/hyssopgrade" status --node 127.0.0.1:7400 2>/dev/null | sed -n 's/.*live true *shards \([0-9]*\)/\1/p' | paste -sd+) || true
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -1,13 +1,15 @@
 #!/usr/bin/env bash
-# Takes one mechanism after the other out of a scratch copy and runs the test that must then fail.
-# Usage: scripts/red.sh [NAME…]. Exits non-zero if a test stays green or a change no longer fits the code.
+# Mutation tests: each mutation disables one mechanism in a scratch copy of the source and runs a test that must then fail.
+# Usage: scripts/red.sh [NAME…]; without names, all mutations run.
+# Exits non-zero if a test still passes, a substitution no longer matches the source, or the mutated copy does not build.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 status=0
 
-# red NAME TEST PACKAGE FILE CHANGE [FILE CHANGE…]: each change is a Perl substitution.
+# red NAME TEST PACKAGE FILE CHANGE [FILE CHANGE…]: applies the changes to the files of a copy and runs TEST in PACKAGE.
+# A change is a Perl substitution on the whole file; it must match at least once.
 red() {
   local name=$1 test=$2 package=$3
   shift 3
