--- a/internal/serve/hgdesired/doc.go
+++ b/internal/serve/hgdesired/doc.go
@@ -1,2 +1,3 @@
-// Package hgdesired holds the operators' desired state: which requests exist, which services run them and under which bounds.
+// Package hgdesired holds the operators' desired state: the routes of requests, the services that run them
+// and the limits on what callers may send.
 package hgdesired
