--- a/internal/operate/hgconfig/config.go
+++ b/internal/operate/hgconfig/config.go
@@ -16,16 +16,18 @@
 	"hyssopgrade/hgpreset"
 )
 
-// EndpointKind is what an endpoint is.
+// EndpointKind tells engines from tools.
 type EndpointKind string
 
 // The kinds of endpoints.
 const (
+	// Engine endpoints run models.
 	Engine EndpointKind = "engine"
-	Tool   EndpointKind = "tool"
+	// Tool endpoints run the operations of tool services.
+	Tool EndpointKind = "tool"
 )
 
-// Config is the settings of one node.
+// Config is the settings file of a node.
 type Config struct {
 	Node     Node       `toml:"node"`
 	Platform Platform   `toml:"platform"`
@@ -34,80 +36,97 @@
 	Endpoint []Endpoint `toml:"endpoint"`
 }
 
-// Node names the node and its addresses.
+// Node identifies a node and says where it listens.
 type Node struct {
-	// ID names the node among all nodes of its cell.
+	// ID is unique among the nodes of a cell.
 	ID string `toml:"id"`
-	// Domain is the failure domain.
+	// Domain is the failure domain of the node.
 	Domain string `toml:"domain"`
-	// Public is the IP address and port for callers and operators.
+	// Public is the IP address and port that callers and operators connect to.
 	Public string `toml:"public"`
-	// Inner is the IP address and port for other nodes.
+	// Inner is the IP address and port that other nodes connect to.
 	Inner string `toml:"inner"`
-	// KeyFile names the file with the cell's key; KeyEnv names the environment variable with it.
+	// KeyFile names the file that holds the key of the cell, KeyEnv the environment variable; exactly one of them is set.
 	KeyFile string `toml:"keyFile"`
 	KeyEnv  string `toml:"keyEnv"`
-	// OperatorKeyFile and OperatorKeyEnv name the operators' key in the same way; without one, operators' routes are open.
+	// OperatorKeyFile and OperatorKeyEnv name the operators' key in the same way. If neither is set, the routes for operators
+	// need no key.
 	OperatorKeyFile string `toml:"operatorKeyFile"`
 	OperatorKeyEnv  string `toml:"operatorKeyEnv"`
-	// Shards is the number of shards of the cell; all its nodes must agree.
+	// Shards is the number of shards of the cell. It must be the same on all nodes.
 	Shards int `toml:"shards"`
-	// Preset names the preset in force until operators choose one.
+	// Preset names the preset that is in force until operators choose another one.
 	Preset string `toml:"preset"`
 }
 
-// Platform says where the platform's service is.
+// Platform holds the address of the platform's store and the limits of its use.
 type Platform struct {
-	// Address is the IP address and port.
+	// Address is the IP address and port of the store.
 	Address string `toml:"address"`
-	// TimeoutMs bounds one operation, in milliseconds.
+	// TimeoutMs bounds one call of the store, in milliseconds.
 	TimeoutMs int `toml:"timeoutMs"`
-	// CommitsPerSecond is the most commits of all nodes of the cell together, shared out among the live ones.
+	// CommitsPerSecond limits the commits of all nodes of the cell together; the live nodes divide it among themselves.
 	CommitsPerSecond int `toml:"commitsPerSecond"`
 }
 
-// Log says how to log.
+// Log is the format and the level of the log.
 type Log struct {
-	// Format is text or json.
+	// Format is "text" or "json".
 	Format string `toml:"format"`
-	// Level is debug, info, warn or error.
+	// Level is "debug", "info", "warn" or "error".
 	Level string `toml:"level"`
 }
 
-// Limits are times in milliseconds and counts.
+// Limits are the times, in milliseconds, and the sizes that a node works with.
 type Limits struct {
-	HeartbeatMs      int `toml:"heartbeatMs"`
-	SilentMs         int `toml:"silentMs"`
-	StaleMs          int `toml:"staleMs"`
-	PollMs           int `toml:"pollMs"`
-	PresetBoundMs    int `toml:"presetBoundMs"`
+	// HeartbeatMs is the time between two heartbeats.
+	HeartbeatMs int `toml:"heartbeatMs"`
+	// SilentMs is the time without a heartbeat after which other nodes may take over the shards of a node.
+	SilentMs int `toml:"silentMs"`
+	// StaleMs is the time without a refresh after which the registration of a node is stale.
+	StaleMs int `toml:"staleMs"`
+	// PollMs is the time between two reads of the preset, the members and the rows of shards from the store.
+	PollMs int `toml:"pollMs"`
+	// PresetBoundMs is the time without a confirmation of the preset after which a node takes no new work.
+	PresetBoundMs int `toml:"presetBoundMs"`
+	// DispatchWindowMs is the time after its intent within which a call may be dispatched. The next owner of the shard waits
+	// as long before it resolves the call.
 	DispatchWindowMs int `toml:"dispatchWindowMs"`
-	HoldMs           int `toml:"holdMs"`
-	CommitWaitMs     int `toml:"commitWaitMs"`
-	RetainMs         int `toml:"retainMs"`
-	SweepMs          int `toml:"sweepMs"`
-	LocateTTLMs      int `toml:"locateTtlMs"`
-	DrainMs          int `toml:"drainMs"`
-	MaxBodyBytes     int `toml:"maxBodyBytes"`
-	CompactRecords   int `toml:"compactRecords"`
-	Subset           int `toml:"subset"`
+	// HoldMs is how long a call waits for its predecessors in the program.
+	HoldMs int `toml:"holdMs"`
+	// CommitWaitMs is how long a call waits for a commit.
+	CommitWaitMs int `toml:"commitWaitMs"`
+	// RetainMs is how long a program without calls is kept.
+	RetainMs int `toml:"retainMs"`
+	// SweepMs is the time between two searches for engine memory of programs that have ended.
+	SweepMs int `toml:"sweepMs"`
+	// LocateTTLMs is how long callers may keep the address of a node.
+	LocateTTLMs int `toml:"locateTtlMs"`
+	// DrainMs bounds the drain of a node that stops.
+	DrainMs int `toml:"drainMs"`
+	// MaxBodyBytes is the largest body of a request.
+	MaxBodyBytes int `toml:"maxBodyBytes"`
+	// CompactRecords is the number of journal records of a shard after which a segment is written.
+	CompactRecords int `toml:"compactRecords"`
+	// Subset is the largest number of endpoints per target that a node uses.
+	Subset int `toml:"subset"`
 }
 
-// Endpoint names an endpoint.
+// Endpoint describes an engine or a tool that the node sends calls to.
 type Endpoint struct {
 	ID      string       `toml:"id"`
 	Kind    EndpointKind `toml:"kind"`
 	Address string       `toml:"address"`
 	Domain  string       `toml:"domain"`
-	// Targets are the models, or the tool services, that it serves.
+	// Targets are the models or tool services that the endpoint serves.
 	Targets []string `toml:"targets"`
-	// ChecksFencing says that it refuses orders with an old fencing number.
+	// ChecksFencing says that the endpoint rejects requests whose fencing number is older than one it has seen.
 	ChecksFencing bool `toml:"checksFencing"`
-	// MemoryTokens is an engine's memory for prefixes, in tokens; 0 means not known.
+	// MemoryTokens is the memory of an engine for cached prefixes, in tokens; 0 means unknown.
 	MemoryTokens int `toml:"memoryTokens"`
 }
 
-// Default returns the settings before a file is read.
+// Default returns the settings of a node whose file sets none.
 func Default() Config {
 	return Config{
 		Node:     Node{Shards: 64, Preset: "ordinary"},
@@ -146,7 +165,7 @@
 	}
 }
 
-// Read reads and checks a settings file; errors name the key, its line and the allowed range.
+// Read reads and validates the settings file of a node. An error names the key, its line and the values that are allowed.
 func Read(path string) (c Config, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -156,7 +175,7 @@
 	return c, trace.Wrap(err, "%s", path)
 }
 
-// Parse reads and checks settings.
+// Parse decodes and validates the settings of a node.
 func Parse(data string) (c Config, err error) {
 	c = Default()
 	meta, err := toml.Decode(data, &c)
@@ -164,47 +183,47 @@
 		return c, trace.BadParameter("%v", err)
 	}
 	if keys := meta.Undecoded(); len(keys) > 0 {
-		return c, at(data, keys[0].String(), "unknown key")
+		return c, keyError(data, keys[0].String(), "unknown key")
 	}
 	return c, c.check(data)
 }
 
-// at returns an error about a key with its line, when the key stands in the data.
-func at(data, key, format string, args ...any) error {
+// keyError returns an error about a key, with the number of its line if the key is in the data.
+func keyError(data, key, format string, args ...any) error {
 	name := key[strings.LastIndexByte(key, '.')+1:]
 	re := regexp.MustCompile(`^\s*(\[+.*)?` + regexp.QuoteMeta(name) + `\s*[=\]]`)
-	where := ""
-	for i, line := range strings.Split(data, "\n") {
-		if re.MatchString(line) {
-			where = fmt.Sprintf("line %d: ", i+1)
+	line := ""
+	for i, text := range strings.Split(data, "\n") {
+		if re.MatchString(text) {
+			line = fmt.Sprintf("line %d: ", i+1)
 			break
 		}
 	}
-	return trace.BadParameter("%s%s: %s", where, key, fmt.Sprintf(format, args...))
+	return trace.BadParameter("%s%s: %s", line, key, fmt.Sprintf(format, args...))
 }
 
 func (c Config) check(data string) (err error) {
 	if b, ok := hgbound.Broken(c.bounds()); ok {
-		return at(data, b.Key, "%d is outside %d to %d", b.Value, b.Low, b.High)
+		return keyError(data, b.Key, "%d is outside %d to %d", b.Value, b.Low, b.High)
 	}
 	if c.Node.ID == "" || strings.ContainsAny(c.Node.ID, "/ ") {
-		return at(data, "node.id", "%q: want a word without '/'", c.Node.ID)
+		return keyError(data, "node.id", "%q: want a word without '/'", c.Node.ID)
 	}
 	if c.Node.Domain == "" {
-		return at(data, "node.domain", "want the failure domain")
+		return keyError(data, "node.domain", "want the failure domain")
 	}
 	if (c.Node.KeyFile == "") == (c.Node.KeyEnv == "") {
-		return at(data, "node.keyFile", "want either keyFile or keyEnv")
+		return keyError(data, "node.keyFile", "want either keyFile or keyEnv")
 	}
 	if c.Node.OperatorKeyFile != "" && c.Node.OperatorKeyEnv != "" {
-		return at(data, "node.operatorKeyFile", "want operatorKeyFile, operatorKeyEnv or neither")
+		return keyError(data, "node.operatorKeyFile", "want operatorKeyFile, operatorKeyEnv or neither")
 	}
 	if _, ok := hgpreset.Shipped()[c.Node.Preset]; !ok {
-		return at(data, "node.preset", "%q: want one of %s", c.Node.Preset, strings.Join(hgpreset.Names(hgpreset.Shipped()), ", "))
+		return keyError(data, "node.preset", "%q: want one of %s", c.Node.Preset, strings.Join(hgpreset.Names(hgpreset.Shipped()), ", "))
 	}
 	for key, address := range map[string]string{"node.public": c.Node.Public, "node.inner": c.Node.Inner, "platform.address": c.Platform.Address} {
 		if err := checkAddress(address); err != nil {
-			return at(data, key, "%v", err)
+			return keyError(data, key, "%v", err)
 		}
 	}
 	return c.checkEndpoints(data)
@@ -216,25 +235,25 @@
 		key := fmt.Sprintf("endpoint[%d].", i)
 		switch {
 		case e.ID == "" || seen[e.ID]:
-			return at(data, key+"id", "%q: want a name that no other endpoint has", e.ID)
+			return keyError(data, key+"id", "%q: want a name that no other endpoint has", e.ID)
 		case e.Kind != Engine && e.Kind != Tool:
-			return at(data, key+"kind", "%q: want %q or %q", e.Kind, Engine, Tool)
+			return keyError(data, key+"kind", "%q: want %q or %q", e.Kind, Engine, Tool)
 		case e.MemoryTokens < 0:
-			return at(data, key+"memoryTokens", "%d: want at least 0", e.MemoryTokens)
+			return keyError(data, key+"memoryTokens", "%d: want at least 0", e.MemoryTokens)
 		case e.Domain == "":
-			return at(data, key+"domain", "want the failure domain")
+			return keyError(data, key+"domain", "want the failure domain")
 		case len(e.Targets) == 0 || lo.Contains(e.Targets, ""):
-			return at(data, key+"targets", "want at least one model or service")
+			return keyError(data, key+"targets", "want at least one model or service")
 		}
 		if err := checkAddress(e.Address); err != nil {
-			return at(data, key+"address", "%v", err)
+			return keyError(data, key+"address", "%v", err)
 		}
 		seen[e.ID] = true
 	}
 	return nil
 }
 
-// checkAddress demands an IP number and a port.
+// checkAddress returns an error unless the address is an IP number and a port.
 func checkAddress(address string) (err error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
@@ -243,16 +262,16 @@
 	return nil
 }
 
-// minKeyBytes is the least length of a key.
+// minKeyBytes is the smallest allowed length of a key.
 const minKeyBytes = 16
 
-// Key returns the cell's key from its file or environment variable.
+// Key returns the key of the cell, read from the file or the environment variable that the settings name.
 func (c Config) Key() (key string, err error) {
 	defer func() { err = trace.Wrap(err, "cell key") }()
 	return readKey(c.Node.KeyFile, c.Node.KeyEnv)
 }
 
-// OperatorKey returns the operators' key, or an empty one if the settings name none.
+// OperatorKey returns the operators' key, or "" if the settings name none.
 func (c Config) OperatorKey() (key string, err error) {
 	defer func() { err = trace.Wrap(err, "operators' key") }()
 	if c.Node.OperatorKeyFile == "" && c.Node.OperatorKeyEnv == "" {
@@ -277,5 +296,5 @@
 	return key, nil
 }
 
-// MS returns a time in milliseconds as a duration.
+// MS converts milliseconds, the unit of settings, to a duration.
 func MS(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/operate/hgconfig/doc.go
+++ b/internal/operate/hgconfig/doc.go
@@ -1,2 +1,2 @@
-// Package hgconfig reads and checks the settings of a node.
+// Package hgconfig reads and validates the settings files of nodes and of entry VMs.
 package hgconfig
--- a/internal/operate/hgconfig/entry.go
+++ b/internal/operate/hgconfig/entry.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Entry is the settings of an entry VM on the users' platform; the platform fills them in from a template.
+// Entry is the settings file of an entry VM. The users' platform makes it from the template deploy/entry.toml.tmpl.
 type Entry struct {
 	VM     EntryVM     `toml:"vm"`
 	Listen EntryListen `toml:"listen"`
@@ -19,58 +19,61 @@
 	Keys   EntryKeys   `toml:"keys"`
 }
 
-// EntryKeys name the files in PEM with which entry VMs secure the connections between them; without a certificate these
-// are plain.
+// EntryKeys name the PEM files for TLS between entry VMs. Without them the connections are not encrypted.
 type EntryKeys struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	// Authority holds the certificate that signed those of all VMs.
+	// Authority is the file with the certificate of the authority that signed the certificates of all VMs.
 	Authority string `toml:"authority"`
 }
 
-// EntryVM names the VM and says what it has.
+// EntryVM describes the VM: its name, its failure domain and its resources.
 type EntryVM struct {
 	Name string `toml:"name"`
-	// Domain is the failure domain.
+	// Domain is the failure domain of the VM.
 	Domain string `toml:"domain"`
 	// Domains are all failure domains of the site.
 	Domains []string `toml:"domains"`
-	// MemoryMB is the memory of a process, in MB.
+	// MemoryMB is the memory that the process may use, in units of 2^20 bytes.
 	MemoryMB float64 `toml:"memoryMb"`
-	// CPUShare is the share of a core that the process gets, and Cores how many such cores there are.
+	// CPUShare is the share of each core that the process gets, and Cores the number of cores.
 	CPUShare float64 `toml:"cpuShare"`
 	Cores    float64 `toml:"cores"`
-	// FirstStart says that the whole site starts for the first time, so that nothing was served before.
+	// FirstStart says that the whole site starts for the first time, so that no program can have been served before.
 	FirstStart bool `toml:"firstStart"`
 }
 
-// EntryListen are the addresses on which the VM listens, each an IP number and a port.
+// EntryListen holds the addresses on which the VM listens, each an IP number and a port.
 type EntryListen struct {
-	// Public is for callers, Ready for the platform's checks, Directory for callers that ask where to connect.
-	Public    string `toml:"public"`
-	Ready     string `toml:"ready"`
+	// Public serves the requests of callers.
+	Public string `toml:"public"`
+	// Ready serves the readiness checks of the platform.
+	Ready string `toml:"ready"`
+	// Directory tells callers which addresses to connect to.
 	Directory string `toml:"directory"`
-	// Peer is for the other entry VMs and for metrics.
-	Peer    string `toml:"peer"`
+	// Peer serves the other entry VMs.
+	Peer string `toml:"peer"`
+	// Metrics serves metrics and the status of the VM.
 	Metrics string `toml:"metrics"`
 }
 
-// EntryStore is the platform's store and the rates of all VMs together.
+// EntryStore is the address of the platform's store and the rates of writes and reads that it grants to all VMs together. The
+// rates are only validated.
 type EntryStore struct {
 	Address         string  `toml:"address"`
 	WritesPerSecond float64 `toml:"writesPerSecond"`
 	ReadsPerSecond  float64 `toml:"readsPerSecond"`
 }
 
-// EntryBounds are promises of the platform's pages.
+// EntryBounds are the limits that the platform documents for stopping a VM and for the addresses that callers hold.
 type EntryBounds struct {
-	// GraceSeconds is the time between the signal to stop and the end of the process.
+	// GraceSeconds is the time between the signal to stop and the kill of the process.
 	GraceSeconds float64 `toml:"graceSeconds"`
-	// AddressTTLSeconds is the longest time that callers keep an address.
+	// AddressTTLSeconds is the longest time that callers keep an address of the directory.
 	AddressTTLSeconds float64 `toml:"addressTtlSeconds"`
 }
 
-// DefaultEntry returns the settings before a file is read.
+// DefaultEntry returns the settings of an entry VM whose file sets none.
 func DefaultEntry() Entry {
 	return Entry{
 		VM:     EntryVM{CPUShare: 1, Cores: 1},
@@ -80,7 +83,7 @@
 	}
 }
 
-// ReadEntry reads and checks the settings file of an entry VM.
+// ReadEntry reads and validates the settings file of an entry VM. An error names the key, its line and the values that are allowed.
 func ReadEntry(path string) (e Entry, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -90,7 +93,7 @@
 	return e, trace.Wrap(err, "%s", path)
 }
 
-// ParseEntry reads and checks the settings of an entry VM.
+// ParseEntry decodes and validates the settings of an entry VM.
 func ParseEntry(data string) (e Entry, err error) {
 	e = DefaultEntry()
 	meta, err := toml.Decode(data, &e)
@@ -98,7 +101,7 @@
 		return e, trace.BadParameter("%v", err)
 	}
 	if keys := meta.Undecoded(); len(keys) > 0 {
-		return e, at(data, keys[0].String(), "unknown key")
+		return e, keyError(data, keys[0].String(), "unknown key")
 	}
 	return e, e.check(data)
 }
@@ -114,28 +117,28 @@
 		"bounds.addressTtlSeconds": {e.Bounds.AddressTTLSeconds, 0.001, 3600},
 	} {
 		if v.value < v.low || v.value > v.high {
-			return at(data, key, "%g is outside %g to %g", v.value, v.low, v.high)
+			return keyError(data, key, "%g is outside %g to %g", v.value, v.low, v.high)
 		}
 	}
 	if e.VM.Name == "" || strings.ContainsAny(e.VM.Name, "/ ") {
-		return at(data, "vm.name", "%q: want a word without '/'", e.VM.Name)
+		return keyError(data, "vm.name", "%q: want a word without '/'", e.VM.Name)
 	}
 	if k := e.Keys; (k.Certificate == "") != (k.Key == "") || (k.Certificate == "") != (k.Authority == "") {
-		return at(data, "keys.certificate", "want certificate, key and authority, or none of them")
+		return keyError(data, "keys.certificate", "want certificate, key and authority, or none of them")
 	}
 	if e.VM.Domain == "" {
-		return at(data, "vm.domain", "want the failure domain")
+		return keyError(data, "vm.domain", "want the failure domain")
 	}
 	for key, address := range map[string]string{
 		"listen.public": e.Listen.Public, "listen.ready": e.Listen.Ready, "listen.directory": e.Listen.Directory,
 		"listen.peer": e.Listen.Peer, "listen.metrics": e.Listen.Metrics, "store.address": e.Store.Address,
 	} {
 		if err := checkAddress(address); err != nil {
-			return at(data, key, "%v", err)
+			return keyError(data, key, "%v", err)
 		}
 	}
 	return nil
 }
 
-// Seconds returns a time in seconds as a duration.
+// Seconds converts seconds, the unit of EntryBounds, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/operate/hgconfig/entry_test.go
+++ b/internal/operate/hgconfig/entry_test.go
@@ -9,8 +9,8 @@
 	"hyssopgrade/internal/operate/hgconfig"
 )
 
-// filled is the template as the platform fills it in on a VM.
-func filled(t *testing.T) string {
+// filledTemplate returns the settings file that the platform makes from the template on a VM.
+func filledTemplate(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("../../../deploy/entry.toml.tmpl")
 	if err != nil {
@@ -22,7 +22,7 @@
 		"ip": "10.0.0.1", "port_range.0": "7380", "port_range.1": "7381", "platform.address|json": `"10.0.0.9:90"`,
 		"platform.writes_per_s": "800", "platform.reads_per_s": "2000.0", "bounds.grace_s": "8", "bounds.ttl_max_s": "4.5",
 	}
-	// The section for each failure domain.
+	// The platform repeats this section for each failure domain.
 	text := regexp.MustCompile(`(?s)\{\{#zones\}\}(.*?)\{\{/zones\}\}`).ReplaceAllStringFunc(string(data), func(string) string { return `"north","south"` })
 	return regexp.MustCompile(`\{\{([^}]*)\}\}`).ReplaceAllStringFunc(text, func(m string) string {
 		v, ok := values[strings.Trim(m, "{}")]
@@ -34,7 +34,7 @@
 }
 
 func TestEntryTemplate(t *testing.T) {
-	e, err := hgconfig.ParseEntry(filled(t))
+	e, err := hgconfig.ParseEntry(filledTemplate(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		"little memory": {"154", "3", "vm.memoryMb"},
 		"no grace":      {"graceSeconds = 8", "graceSeconds = 0", "bounds.graceSeconds"},
 	}
-	good := filled(t) + "\n[log]\nlevel = \"info\"\n"
+	good := filledTemplate(t) + "\n[log]\nlevel = \"info\"\n"
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := hgconfig.ParseEntry(strings.Replace(good, tt.old, tt.new, 1))
