--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -143,7 +143,7 @@
 red endless TestEndlessBytes internal/proof/hgsite \
   internal/serve/hgmemory/pool.go 's/p\.taken\.Add\(n\) > p\.limit/p.taken.Add(n) < 0/'
 red callerTime TestTimeHandedOn internal/proof/hgsite \
-  platform/request.go 's/left\.Milliseconds\(\)/(2 * left).Milliseconds()/'
+  platform/request.go 's/s\.Left\.Milliseconds\(\)/(2 * s.Left).Milliseconds()/'
 red callerLeaves TestCallerLeaves internal/proof/hgsite \
   internal/serve/hgentry/entry.go 's/context\.WithTimeout\(x\.r\.Context\(\)/context.WithTimeout(context.WithoutCancel(x.r.Context())/'
 exit "$status"
