--- a/internal/serve/hgplacer/placer.go
+++ b/internal/serve/hgplacer/placer.go
@@ -9,71 +9,73 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Verdict is the answer to a question for a place.
+// Verdict is the answer to a request for a place.
 type Verdict string
 
-// The verdicts.
 const (
-	// Granted requests have a place.
+	// Granted says that the request has a place.
 	Granted Verdict = "granted"
-	// Full is the answer to the first request of a program while replicas are full.
+	// Full says that the request begins a program and that the load is too high for new programs.
 	Full Verdict = "full"
-	// Expired requests had no place while their caller waited.
+	// Expired says that the request got no place within its wait, or that its caller left.
 	Expired Verdict = "expired"
-	// NoReplica says that no replica can be used at all.
+	// NoReplica says that the service has no usable replica.
 	NoReplica Verdict = "noReplica"
 )
 
-// Ask asks for a place.
+// Ask is a request for a place on a replica; nodes send it to the placer of their failure domain.
 type Ask struct {
-	// ID names the question; it must be unique among all that the placer gets.
+	// ID identifies this request for a place; it must be unique among all that the placer gets.
 	ID   string
 	Want hgreplica.Want
 	Rank Rank
-	// Wait is how long to wait for a place, and Left how long a granted one may be held.
+	// Wait is the longest time in the queue. Left is the time until the request must end, for which a granted place may be held.
 	Wait, Left time.Duration
 }
 
 const (
-	// Window is the number of requests that a replica gets, as a multiple of its slots. In the model of the engines
-	// (hgmodel) turns that wait at the replica that keeps their history do better than turns that move to a free one.
+	// Window is the most requests in flight on a replica, as a multiple of its slots. It is above 1 because turns that queue
+	// at the replica that has their history cached do better than turns that move to an idle replica.
 	Window = 3
-	// FullForOthers and FullForUrgent are the requests on all replicas, as a multiple of their slots, from which new
-	// programs have to come back, and those of the most urgent routes. By the model 1.0 to 1.2 serve the most; beyond
-	// that programs under way miss their aims.
-	FullForOthers = 1.1
-	FullForUrgent = 1.25
-	// overdue is how long a place is held beyond the time of its request, if nothing is heard of its end.
-	overdue = time.Second
-	// sweepEvery is the time between two looks for what is overdue, and for room that nobody told of.
-	sweepEvery = 100 * time.Millisecond
+	// FullLoad is the load of a service, in requests per slot, from which new programs are refused and have to come back
+	// later. Limits from 1.0 to 1.2 serve the most programs; with higher ones programs under way miss their deadlines.
+	FullLoad = 1.1
+	// FullLoadUrgent is the same limit for routes of priority 0, the most urgent ones.
+	FullLoadUrgent = 1.25
+	// overdueGrace is how long a place is held beyond the deadline of its request if no release arrives.
+	overdueGrace = time.Second
+	// sweepInterval is the time between two sweeps, which release overdue places and fill capacity that appeared without
+	// a release.
+	sweepInterval = 100 * time.Millisecond
 )
 
-// Placer gives places to the requests of a failure domain; it is safe for concurrent use.
+// Placer places the requests of a failure domain on replicas; it is safe for concurrent use.
 type Placer struct {
 	set   *hgreplica.Set
 	timer hgtimer.Timer
 
 	mu     sync.Mutex
 	queues map[string]*Queue
-	// waiting holds where the places of requests go, and held the places of other nodes' requests.
-	waiting map[string]chan *hgreplica.Lease
-	held    map[string]held
+	// waiters holds the channel of each queued request, which gets the lease, or nil if no replica is left.
+	waiters map[string]chan *hgreplica.Lease
+	// held holds the leases of other nodes' requests by the ID of their Ask.
+	held map[string]heldLease
 }
 
-type held struct {
+type heldLease struct {
 	lease *hgreplica.Lease
+	// until is when the place is overdue, on the placer's timer.
 	until time.Duration
 }
 
-// NewPlacer returns a placer over the replicas that a node knows.
+// NewPlacer returns a placer for the replicas in set; it sweeps until the timer stops.
 func NewPlacer(set *hgreplica.Set, timer hgtimer.Timer) *Placer {
-	p := &Placer{set: set, timer: timer, queues: map[string]*Queue{}, waiting: map[string]chan *hgreplica.Lease{}, held: map[string]held{}}
-	timer.Every(sweepEvery, p.sweep)
+	p := &Placer{set: set, timer: timer, queues: map[string]*Queue{}, waiters: map[string]chan *hgreplica.Lease{}, held: map[string]heldLease{}}
+	timer.Every(sweepInterval, p.sweep)
 	return p
 }
 
-// Place waits for a place.
+// Place waits for a place, for a.Wait at most and until ctx ends; the lease is nil unless the verdict is Granted.
 func (p *Placer) Place(ctx context.Context, a Ask) (l *hgreplica.Lease, v Verdict) {
 	if !p.set.HasAny(a.Want) {
 		return nil, NoReplica
@@ -84,7 +86,7 @@
 	if !ok {
 		return nil, Full
 	}
-	p.serve(a.Want.Service)
+	p.grantQueued(a.Want.Service)
 	select {
 	case l = <-granted:
 		if l == nil {
@@ -95,11 +97,11 @@
 			return nil, Expired
 		}
 	}
-	l.OnRelease(func(hgreplica.Outcome) { p.serve(a.Want.Service) })
+	l.OnRelease(func(hgreplica.Outcome) { p.grantQueued(a.Want.Service) })
 	return l, Granted
 }
 
-// push adds a request to its queue, unless it begins a program and replicas are full.
+// push adds a request to the queue of its service, unless it begins a program and the load is too high for new programs.
 func (p *Placer) push(a Ask) (granted chan *hgreplica.Lease, ok bool) {
 	if a.Rank.New && IsFull(p.set.Load(a.Want.Service), a.Rank.Priority) {
 		return nil, false
@@ -108,20 +110,20 @@
 	defer p.mu.Unlock()
 	a.Want.Window, a.Rank.Arrived = Window, p.timer.Now()
 	granted = make(chan *hgreplica.Lease, 1)
-	p.waiting[a.ID] = granted
+	p.waiters[a.ID] = granted
 	p.queue(a.Want.Service).Push(Request{ID: a.ID, Want: a.Want, Rank: a.Rank})
 	return granted, true
 }
 
-// IsFull says whether a load is too much for a new program of a rank.
+// IsFull reports whether a load, in requests per slot, is too high for a new program of a priority.
 func IsFull(load float64, priority int) bool {
 	if priority == 0 {
-		return load >= FullForUrgent
+		return load >= FullLoadUrgent
 	}
-	return load >= FullForOthers
+	return load >= FullLoad
 }
 
-// Load returns the requests on the replicas of a service as a multiple of their slots.
+// Load returns the requests in flight per slot on the replicas of a service.
 func (p *Placer) Load(service string) float64 { return p.set.Load(service) }
 
 func (p *Placer) queue(service string) *Queue {
@@ -133,11 +135,11 @@
 	return q
 }
 
-// withdraw takes a request back; it returns the place if one was granted meanwhile.
+// withdraw removes a request from the queue; it returns the lease if a place was granted meanwhile.
 func (p *Placer) withdraw(a Ask, granted chan *hgreplica.Lease) (l *hgreplica.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waiting, a.ID)
+	delete(p.waiters, a.ID)
 	if p.queue(a.Want.Service).Remove(a.ID) {
 		return nil
 	}
@@ -148,16 +150,16 @@
 	return l
 }
 
-// serve grants places to the first requests of a service for which there is room. When no replica is left for any request,
-// none waits on.
-func (p *Placer) serve(service string) {
+// grantQueued grants places to the first requests in the queue of a service until the next one has to wait. If the service
+// has no usable replica, it ends the wait of all of them.
+func (p *Placer) grantQueued(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.set.HasAny(hgreplica.Want{Service: service}) {
 		for _, id := range p.queue(service).Clear() {
-			if granted, ok := p.waiting[id]; ok {
+			if granted, ok := p.waiters[id]; ok {
 				granted <- nil
-				delete(p.waiting, id)
+				delete(p.waiters, id)
 			}
 		}
 		return
@@ -167,19 +169,19 @@
 		if !ok {
 			return
 		}
-		p.waiting[r.ID] <- l
-		delete(p.waiting, r.ID)
+		p.waiters[r.ID] <- l
+		delete(p.waiters, r.ID)
 	}
 }
 
-// Hold keeps a place for another node's request, until it is left or overdue.
+// Hold keeps the lease of another node's request until Leave is called for it or it is overdue.
 func (p *Placer) Hold(a Ask, l *hgreplica.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held[a.ID] = held{lease: l, until: p.timer.Now() + a.Left + overdue}
+	p.held[a.ID] = heldLease{lease: l, until: p.timer.Now() + a.Left + overdueGrace}
 }
 
-// Leave ends another node's request, with or without a place.
+// Leave ends another node's request: it removes the request from the queue, or applies o to its lease and releases it.
 func (p *Placer) Leave(id string, o hgreplica.Outcome) {
 	p.mu.Lock()
 	h, ok := p.held[id]
@@ -193,17 +195,18 @@
 	}
 }
 
-// sweep frees places that are overdue and grants those that became free without word, as when replicas come.
+// sweep releases overdue places and grants places that became free without a release, for example on a new replica.
 func (p *Placer) sweep(now time.Duration) {
-	for _, l := range p.overdue(now) {
+	for _, l := range p.takeOverdue(now) {
 		l.Release()
 	}
-	for _, service := range p.services() {
-		p.serve(service)
+	for _, service := range p.queuedServices() {
+		p.grantQueued(service)
 	}
 }
 
-func (p *Placer) overdue(now time.Duration) (leases []*hgreplica.Lease) {
+// takeOverdue removes the overdue leases from p.held and returns them.
+func (p *Placer) takeOverdue(now time.Duration) (leases []*hgreplica.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, h := range p.held {
@@ -215,7 +218,8 @@
 	return leases
 }
 
-func (p *Placer) services() (names []string) {
+// queuedServices returns the services for which requests wait.
+func (p *Placer) queuedServices() (names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, q := range p.queues {
@@ -226,5 +230,5 @@
 	return names
 }
 
-// String describes the placer.
+// String implements fmt.Stringer.
 func (p *Placer) String() string { return "placer" }
--- a/internal/serve/hgplacer/placer_test.go
+++ b/internal/serve/hgplacer/placer_test.go
@@ -14,25 +14,26 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Late programs go last, programs under way before new ones, urgent routes before others, and then the first to come.
+// Requests of late programs are served last; then programs under way go before new ones, urgent routes before others, and
+// older requests before younger ones.
 func TestQueueOrder(t *testing.T) {
 	q := hgplacer.NewQueue()
 	for id, rank := range map[string]hgplacer.Rank{
-		"late":          {Late: true, Arrived: 1},
-		"new":           {New: true, Arrived: 2},
-		"under way":     {Priority: 1, Arrived: 4},
-		"urgent":        {Arrived: 6},
-		"urgent before": {Arrived: 5},
-		"urgent new":    {New: true, Arrived: 7},
-		"new, not":      {New: true, Priority: 1, Arrived: 1},
-		"withdrawn":     {},
+		"late":            {Late: true, Arrived: 1},
+		"new":             {New: true, Arrived: 2},
+		"under way":       {Priority: 1, Arrived: 4},
+		"urgent":          {Arrived: 6},
+		"urgent before":   {Arrived: 5},
+		"urgent new":      {New: true, Arrived: 7},
+		"new, not urgent": {New: true, Priority: 1, Arrived: 1},
+		"withdrawn":       {},
 	} {
 		q.Push(hgplacer.Request{ID: id, Rank: rank})
 	}
 	if !q.Remove("withdrawn") || q.Remove("withdrawn") {
-		t.Error("a request is there once")
+		t.Error("Remove does not report a queued request exactly once")
 	}
-	want := []string{"urgent before", "urgent", "under way", "new", "urgent new", "new, not", "late"}
+	want := []string{"urgent before", "urgent", "under way", "new", "urgent new", "new, not urgent", "late"}
 	var got []string
 	for q.Len() > 0 {
 		r, _, _ := q.Next(func(hgreplica.Want) (*hgreplica.Lease, bool) { return nil, true })
@@ -62,7 +63,7 @@
 	return hgplacer.Ask{ID: id, Want: hgreplica.Want{Service: "s"}, Wait: wait, Left: wait}
 }
 
-// fill takes places until the next request would wait, and returns them.
+// fill takes places until no more are granted, and returns their leases.
 func fill(t *testing.T, p *hgplacer.Placer) (leases []*hgreplica.Lease) {
 	t.Helper()
 	for {
@@ -74,7 +75,7 @@
 	}
 }
 
-// A request waits while replicas have all that they may get, and gets the place of the next one that ends.
+// A request waits while all replicas are at Window times their slots, and gets the place of the next request that ends.
 func TestPlaceWaits(t *testing.T) {
 	p, s := newPlacer(t, "a", "b")
 	leases := fill(t, p)
@@ -129,7 +130,7 @@
 	}
 }
 
-// A place whose holder is gone is free again once its request must have ended.
+// A node that fails never releases the places that it holds; each is freed once its request must have ended.
 func TestOverdue(t *testing.T) {
 	p, s := newPlacer(t, "a")
 	l, _ := p.Place(t.Context(), ask("gone", time.Second))
@@ -168,7 +169,7 @@
 	}
 }
 
-// A place that is granted at the moment at which its caller leaves is free again.
+// A place that is granted while its caller leaves is not leaked: Place either returns the lease or gives the place back.
 func TestPlaceOfCallerThatLeaves(t *testing.T) {
 	p, s := newPlacer(t, "a")
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/serve/hgplacer/queue.go
+++ b/internal/serve/hgplacer/queue.go
@@ -9,27 +9,28 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Request wants a place.
+// Request is a request that waits in a Queue for a place.
 type Request struct {
-	// ID names the request among all that the queue holds.
+	// ID is unique among the requests in the queue.
 	ID   string
 	Want hgreplica.Want
 	Rank Rank
 }
 
-// Rank orders requests that wait.
+// Rank orders the waiting requests. Requests of late programs go last, and requests of programs under way go before those of
+// new programs; within each of these groups the lower Priority goes first, then the earlier Arrived.
 type Rank struct {
-	// New says that the request begins a program. Programs under way go first, as they hold what they were served so far.
+	// New says that the request begins a program. Programs under way go first, because work has already been spent on them.
 	New bool
-	// Late says that the program has passed its aim.
+	// Late says that the deadline of the program has passed.
 	Late bool
-	// Priority is the rank of the route; 0 goes first.
+	// Priority is the priority of the route; 0 is the most urgent.
 	Priority int
-	// Arrived is when the request came.
+	// Arrived is when the request entered the queue, on the placer's timer.
 	Arrived time.Duration
 }
 
-// before says whether one rank goes before another.
+// before reports whether a request of rank r is served before one of rank o.
 func (r Rank) before(o Rank) bool {
 	switch {
 	case r.Late != o.Late:
@@ -44,7 +45,7 @@
 
 // Queue holds the requests that wait for a place; it is not safe for concurrent use.
 type Queue struct {
-	waiting waiting
+	waiting rankHeap
 	byID    map[string]*item
 }
 
@@ -56,14 +57,14 @@
 	index int
 }
 
-// Push adds a request.
+// Push adds a request, whose ID must not be in the queue yet.
 func (q *Queue) Push(r Request) {
 	i := &item{Request: r}
 	q.byID[r.ID] = i
 	heap.Push(&q.waiting, i)
 }
 
-// Remove takes a request out, and says whether it was there.
+// Remove removes a request and reports whether it was in the queue.
 func (q *Queue) Remove(id string) (ok bool) {
 	i, ok := q.byID[id]
 	if ok {
@@ -73,44 +74,46 @@
 	return ok
 }
 
-// Clear takes out all requests and returns their identifiers.
+// Clear removes all requests and returns their IDs in no particular order.
 func (q *Queue) Clear() (ids []string) {
 	ids = slices.Collect(maps.Keys(q.byID))
 	*q = *NewQueue()
 	return ids
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Next takes out the first request if there is a place for it.
-func (q *Queue) Next(place func(w hgreplica.Want) (l *hgreplica.Lease, ok bool)) (r Request, l *hgreplica.Lease, ok bool) {
+// Next calls pick for the first request and, if pick returns a lease, removes the request. While the first request has to
+// wait, ok is false and no other request is tried.
+func (q *Queue) Next(pick func(w hgreplica.Want) (l *hgreplica.Lease, ok bool)) (r Request, l *hgreplica.Lease, ok bool) {
 	if len(q.waiting) == 0 {
 		return r, nil, false
 	}
 	r = q.waiting[0].Request
-	if l, ok = place(r.Want); ok {
+	if l, ok = pick(r.Want); ok {
 		q.Remove(r.ID)
 	}
 	return r, l, ok
 }
 
-type waiting []*item
+// rankHeap implements heap.Interface; the first request to serve is at index 0.
+type rankHeap []*item
 
-func (w waiting) Len() int           { return len(w) }
-func (w waiting) Less(i, j int) bool { return w[i].Rank.before(w[j].Rank) }
-func (w waiting) Swap(i, j int) {
-	w[i], w[j] = w[j], w[i]
-	w[i].index, w[j].index = i, j
+func (h rankHeap) Len() int           { return len(h) }
+func (h rankHeap) Less(i, j int) bool { return h[i].Rank.before(h[j].Rank) }
+func (h rankHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (w *waiting) Push(x any) {
+func (h *rankHeap) Push(x any) {
 	i := x.(*item)
-	i.index = len(*w)
-	*w = append(*w, i)
+	i.index = len(*h)
+	*h = append(*h, i)
 }
-func (w *waiting) Pop() any {
-	last := len(*w) - 1
-	i := (*w)[last]
-	*w = (*w)[:last]
+func (h *rankHeap) Pop() any {
+	last := len(*h) - 1
+	i := (*h)[last]
+	*h = (*h)[:last]
 	return i
 }
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -121,7 +121,7 @@
 red lapse TestWatchOutage internal/state/hgfeed \
   internal/state/hgfeed/feed.go 's/return max\(w\.regained\+lapseTime-w\.timer\.Now\(\), 0\)/return lapseTime/'
 red full TestNewProgramsWait internal/proof/hgsite \
-  internal/serve/hgplacer/placer.go 's/return load >= FullFor(Others|Urgent)/return load > 1000/g'
+  internal/serve/hgplacer/placer.go 's/return load >= FullLoad(Urgent)?/return load > 1000/g'
 red placerWindow TestPlaceWaits internal/serve/hgplacer \
   internal/serve/hgplacer/placer.go 's/a\.Want\.Window, a\.Rank\.Arrived = Window, now/a.Rank.Arrived = now/'
 red placerLeave TestPlaceWaits internal/serve/hgplacer \
