--- a/internal/serve/hgreplica/fetch.go
+++ b/internal/serve/hgreplica/fetch.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Fetch is what it takes to fetch kept tokens from another replica; without a PerToken none can be fetched.
+// Fetch is the cost of fetching cached prompt tokens from another replica; a PerToken of 0 disables fetching.
 type Fetch struct {
+	// Setup is the time that each fetch takes, and PerToken the time that each of its tokens adds.
 	Setup, PerToken time.Duration
-	// Charge is what a moved token counts besides, in the time of a request.
+	// Charge is added for each token: the price of moving its cached memory, expressed as request time.
 	Charge time.Duration
 }
 
-// sources are the two replicas that keep the most of a prompt, so that each replica has one that is not itself.
+// sources holds the two replicas that have the most of a prompt cached, so that every replica finds one that is not itself.
 type sources [2]*replica
 
+// sources returns the usable replicas with the most cached tokens; it is empty if fetching is disabled. s.mu is held.
 func (s *Set) sources(w Want, now time.Duration) (best sources) {
 	if w.Fetch.PerToken <= 0 {
 		return best
@@ -29,9 +31,10 @@
 	return best
 }
 
-// apply notes in a replica's view what it reads and what it fetches, and returns from where; nil if it fetches nothing.
-func (s sources) apply(v *view, w Want, id string) (from *replica) {
-	v.miss = max(w.Prompt-w.Kept[id], 0)
+// planFetch sets in the view of a replica how many tokens it reads and how many it fetches. It returns the replica to fetch
+// from, or nil if no other replica has more cached or if reading the tokens costs no more.
+func (s sources) planFetch(v *view, w Want, id string) (from *replica) {
+	v.missTokens = max(w.Prompt-w.Kept[id], 0)
 	from = s[0]
 	if from != nil && from.ID == id {
 		from = s[1]
@@ -39,12 +42,12 @@
 	if from == nil {
 		return nil
 	}
-	fetch := min(w.Kept[from.ID]-w.Kept[id], v.miss)
+	fetch := min(w.Kept[from.ID]-w.Kept[id], v.missTokens)
 	cost := w.Fetch.Setup + time.Duration(fetch)*(w.Fetch.PerToken+w.Fetch.Charge)
 	if fetch <= 0 || cost >= v.readTime(fetch) {
 		return nil
 	}
-	v.fetch, v.fetchCost = fetch, cost
-	v.miss -= fetch
+	v.fetchTokens, v.fetchCost = fetch, cost
+	v.missTokens -= fetch
 	return from
 }
--- a/internal/serve/hgreplica/lease.go
+++ b/internal/serve/hgreplica/lease.go
@@ -8,63 +8,66 @@
 	"hyssopgrade/internal/serve/hgattempt"
 )
 
-// Lease is a place of a request on a replica; Release ends it.
+// Lease is the place of a request on a replica. Its holder reports what it observes of the replica and then calls Release.
 type Lease struct {
 	ID      string
 	Address string
 	Client  *http.Client
-	// FetchFrom is the address of the replica from which kept parts of the prompt are to be fetched; empty if from none.
+	// FetchFrom is the address of the replica to fetch cached prompt tokens from; empty if nothing is to be fetched.
 	FetchFrom string
-	// Why says what decided for the replica.
+	// Why holds the figures for which the replica was picked.
 	Why     Why
 	set     *Set
 	replica *replica
 	once    sync.Once
-	// answered is when the first byte came; 0 if none did.
+	// answered is when the first byte of the answer arrived; 0 if none did or the replica did not run the request.
 	answered time.Duration
-	// outcome is what was seen of the replica, and released is called with it at the end.
+	// outcome collects what the holder observed; released is called with it once, by the first Release.
 	outcome  Outcome
 	released func(o Outcome)
-	// placed says that another node counts the request.
-	placed bool
+	// adopted says that another node placed the request and counts it as in flight.
+	adopted bool
 }
 
-// Outcome is what the holder of a lease has seen of the replica.
+// Outcome is what the holder of a lease has observed of the replica.
 type Outcome struct {
-	// Answered says that the replica answered and ran the request, Took is the time to its first byte and Held what came
-	// after it.
+	// Answered says that the replica ran the request and answered it. Took is the time to the first byte of the answer, and
+	// Held the time from there to the release.
 	Answered   bool
 	Took, Held time.Duration
-	// Errored says that the replica answered that it failed; Failed and Misdirected are as the methods of Lease.
+	// Errored says that the replica ran the request and answered with a failure. Failed and Misdirected say that the methods
+	// of Lease with these names were called.
 	Errored, Failed, Misdirected bool
-	// Leaving says that the replica told that it leaves.
+	// Leaving says that the replica announced that it is leaving.
 	Leaving bool
 }
 
-// Adopt returns a lease of a place that another node has given; it counts the request, and released tells it the end.
+// Adopt returns a lease for a place that another node granted. That node counts the request as in flight, so this one does
+// not; released is called with the outcome and must report it there. ok is false if this node knows that the replica is
+// gone, leaving or misdirected.
 func (s *Set) Adopt(id, fetchFrom string, why Why, released func(o Outcome)) (l *Lease, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.replicas[id]
-	if !ok || r.leaves() || r.misdirected {
+	if !ok || r.isLeaving() || r.misdirected {
 		return nil, false
 	}
 	return &Lease{
-		ID: id, Address: r.Address, Client: r.client, FetchFrom: fetchFrom, Why: why, set: s, replica: r, released: released, placed: true,
+		ID: id, Address: r.Address, Client: r.client, FetchFrom: fetchFrom, Why: why, set: s, replica: r, released: released, adopted: true,
 	}, true
 }
 
-// HasEnded says whether the replica has ended or started again since the lease was given.
+// HasEnded reports whether the replica has ended or restarted since the lease was granted.
 func (l *Lease) HasEnded() bool {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	return l.set.replicas[l.ID] != l.replica
 }
 
-// OnRelease sets what is called when the lease ends, in the place of what was set before.
+// OnRelease sets the function that Release calls, and replaces the one that was set before.
 func (l *Lease) OnRelease(released func(o Outcome)) { l.released = released }
 
-// Apply takes over what the holder of the place has seen, and releases it.
+// Apply records the outcome that the holder on another node reported, and releases the lease.
 func (l *Lease) Apply(o Outcome) {
 	if o.Answered || o.Errored {
 		l.Answered(hgattempt.Answer{Failed: o.Errored}, o.Took)
@@ -82,7 +85,7 @@
 	l.Release()
 }
 
-// Release ends the lease.
+// Release ends the lease; only the first call has an effect.
 func (l *Lease) Release() {
 	l.once.Do(func() {
 		l.end()
@@ -95,7 +98,7 @@
 func (l *Lease) end() {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
-	if !l.placed {
+	if !l.adopted {
 		l.replica.inFlight--
 	}
 	if l.answered > 0 {
@@ -104,7 +107,7 @@
 	}
 }
 
-// Answered tells of the head of an answer that took some time.
+// Answered records the head of an answer and the time to its first byte.
 func (l *Lease) Answered(a hgattempt.Answer, took time.Duration) {
 	now := l.set.timer.Now()
 	l.set.mu.Lock()
@@ -114,16 +117,16 @@
 		l.set.keepIdle(r, a.KeepsIdle)
 	}
 	if a.HasLoad {
-		r.others, r.othersAt = max(a.Running+a.Waiting-r.inFlight, 0), now
+		r.reported, r.reportedAt = max(a.Running+a.Waiting-r.inFlight, 0), now
 	}
 	if a.NotRun {
 		return
 	}
 	l.answered = now
 	if a.Failed {
-		// How fast it failed says nothing of how fast it answers.
+		// The time to a failure says nothing about the time to an answer, so it is not averaged into the delay.
 		l.outcome.Errored = true
-		r.errored(now)
+		r.recordError(now)
 		return
 	}
 	r.streak = 0
@@ -131,30 +134,30 @@
 	if r.delay == 0 {
 		r.delay = float64(took)
 	}
-	r.delay += observedWeight * (float64(took) - r.delay)
+	r.delay += averageWeight * (float64(took) - r.delay)
 	r.delayAt = now
 }
 
-// Failed tells that the replica broke off or could not be reached.
+// Failed records that the replica broke off or could not be reached.
 func (l *Lease) Failed() {
 	now := l.set.timer.Now()
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	l.outcome.Failed = true
 	l.replica.streak++
-	l.replica.failed(now, 1)
+	l.replica.addFailures(now, 1)
 }
 
-// Leaves tells that the replica said that it leaves, so that it gets no new requests until it has started again; news says
-// that this was not known.
+// Leaves records that the replica announced that it is leaving, so that it gets no new requests until it has restarted. news
+// is false if this node knew that already.
 func (l *Lease) Leaves() (news bool) {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	l.outcome.Leaving = true
-	return l.set.noteLeaving(l.replica)
+	return l.set.markLeaving(l.replica)
 }
 
-// Misdirected tells that another replica has the address; this one is not used again.
+// Misdirected records that another replica has taken over the address; this one is not used again.
 func (l *Lease) Misdirected() {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
--- a/internal/serve/hgreplica/leaving.go
+++ b/internal/serve/hgreplica/leaving.go
@@ -6,61 +6,64 @@
 )
 
 const (
-	// leftFor is how long it is remembered that a run of a replica leaves, when its registration is gone.
-	leftFor = 10 * time.Minute
-	// maxLeft bounds what is remembered; beyond it only what is younger than leftFor stays.
-	maxLeft = 1000
+	// announcementTTL is how long the announcement of a replica that it is leaving is remembered at least, so that it still
+	// holds when its registration is gone for a while and then listed again.
+	announcementTTL = 10 * time.Minute
+	// maxAnnouncements is the number of remembered announcements from which those older than announcementTTL are dropped.
+	maxAnnouncements = 1000
 )
 
-// Lifetime is one run of a replica's process; without a time of birth runs cannot be told apart.
+// Lifetime identifies one incarnation of a replica: ID is its identifier, and Born the start of its process. Incarnations
+// with an empty Born cannot be told apart.
 type Lifetime struct{ ID, Born string }
 
-// leaves says whether the replica takes no new requests, by its registration or by what it says itself.
-func (r *replica) leaves() bool { return r.Leaving || r.saidLeaving }
+// isLeaving reports whether the replica takes no new requests, by its registration or by its own announcement.
+func (r *replica) isLeaving() bool { return r.Leaving || r.announcedLeaving }
 
-// noteLeaving takes a replica's word that it leaves, which holds until it has started again whatever its registration
-// says, and returns whether that is news; s.mu is held.
-func (s *Set) noteLeaving(r *replica) (news bool) {
-	if r.saidLeaving {
+// markLeaving records that a replica announced that it is leaving, and reports whether that is news. The announcement holds
+// until the replica has restarted, whatever its registration says. s.mu is held.
+func (s *Set) markLeaving(r *replica) (news bool) {
+	if r.announcedLeaving {
 		return false
 	}
-	r.saidLeaving = true
+	r.announcedLeaving = true
 	if r.Born == "" {
 		return true
 	}
 	now := s.timer.Now()
-	if len(s.left) >= maxLeft {
-		maps.DeleteFunc(s.left, func(_ Lifetime, at time.Duration) bool { return now-at > leftFor })
+	if len(s.announced) >= maxAnnouncements {
+		maps.DeleteFunc(s.announced, func(_ Lifetime, at time.Duration) bool { return now-at > announcementTTL })
 	}
-	s.left[Lifetime{r.ID, r.Born}] = now
+	s.announced[Lifetime{r.ID, r.Born}] = now
 	return true
 }
 
-// hasLeft says whether the run of a registration has said that it leaves; s.mu is held.
-func (s *Set) hasLeft(e Entry) bool {
-	_, ok := s.left[Lifetime{e.ID, e.Born}]
+// hasAnnouncedLeaving reports whether the incarnation of a registration has announced that it is leaving; s.mu is held.
+func (s *Set) hasAnnouncedLeaving(e Entry) bool {
+	_, ok := s.announced[Lifetime{e.ID, e.Born}]
 	return ok
 }
 
-// SaidLeaving returns the runs of listed replicas that have told that they leave, to this node or to a peer.
-func (s *Set) SaidLeaving() (runs []Lifetime) {
+// SaidLeaving returns the incarnations of registered replicas that announced to this node or to a peer that they are leaving,
+// unless their registrations say so as well.
+func (s *Set) SaidLeaving() (incarnations []Lifetime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for at := range s.left {
-		if r, ok := s.replicas[at.ID]; ok && r.Born == at.Born && !r.Leaving {
-			runs = append(runs, at)
+	for i := range s.announced {
+		if r, ok := s.replicas[i.ID]; ok && r.Born == i.Born && !r.Leaving {
+			incarnations = append(incarnations, i)
 		}
 	}
-	return runs
+	return incarnations
 }
 
-// HearLeaving takes over what a peer was told of replicas that leave; those that are not listed here are passed over.
-func (s *Set) HearLeaving(runs []Lifetime) {
+// HearLeaving merges the incarnations that a peer knows to be leaving; those that are not registered here are ignored.
+func (s *Set) HearLeaving(incarnations []Lifetime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range runs {
-		if r, ok := s.replicas[at.ID]; ok && r.Born == at.Born && at.Born != "" {
-			s.noteLeaving(r)
+	for _, i := range incarnations {
+		if r, ok := s.replicas[i.ID]; ok && r.Born == i.Born && i.Born != "" {
+			s.markLeaving(r)
 		}
 	}
 }
--- a/internal/serve/hgreplica/leaving_test.go
+++ b/internal/serve/hgreplica/leaving_test.go
@@ -9,17 +9,19 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// born returns the registration of a run of replica "b"; an empty time of birth tells no runs apart.
+// born returns the registration of an incarnation of replica "b"; an empty start time tells no incarnations apart.
 func born(at string) hgreplica.Entry {
 	e := entry("b", "north")
 	e.Born = at
 	return e
 }
 
+// A replica that announced that it is leaving must get no requests until it has restarted, even while its registration still
+// lists it as ready or vanishes and comes back.
 func TestReplicaSaysThatItLeaves(t *testing.T) {
 	tests := map[string]struct {
 		first hgreplica.Entry
-		// then are the registrations that follow; nil takes it off the list.
+		// then holds the registrations that follow; nil removes the registration.
 		then []*hgreplica.Entry
 		used bool
 	}{
@@ -35,7 +37,7 @@
 			s, _ := newSet(tc.first)
 			l, _ := s.Pick(hgreplica.Want{Service: "s"})
 			if !l.Leaves() || l.Leaves() {
-				t.Error("the first word is news, the second one is not")
+				t.Error("the first announcement must be news, the second one must not")
 			}
 			l.Release()
 			for _, e := range tc.then {
@@ -52,7 +54,7 @@
 	}
 }
 
-// The holder of a place tells the placer what the replica said, and takes no further place there.
+// The holder of a lease passes the announcement of a leaving replica on to the placer, and adopts no further lease there.
 func TestPlacerHearsThatReplicaLeaves(t *testing.T) {
 	placer, _ := newSet(born("1"))
 	holder, _ := newSet(born("1"))
@@ -61,14 +63,15 @@
 	l.Leaves()
 	l.Release()
 	if diff := cmp.Diff([]bool{false, false}, []bool{placer.HasAny(hgreplica.Want{Service: "s"}), holder.HasAny(hgreplica.Want{Service: "s"})}); diff != "" {
-		t.Errorf("placer and holder use it (-want +got):\n%s", diff)
+		t.Errorf("placer and holder still use the replica (-want +got):\n%s", diff)
 	}
 	if _, ok := holder.Adopt("b", "", hgreplica.Why{}, given.Apply); ok {
-		t.Error("a place that was given before is taken")
+		t.Error("adopted a lease on a leaving replica")
 	}
 }
 
-// A replica that had said that it leaves has not ended under the requests that it did not answer.
+// The end of a replica that had announced that it is leaving is expected: it must not be reported as a crash, for which its
+// unanswered requests would be blamed. The restart that follows it without an announcement is reported.
 func TestLeavingReplicaHasNotEnded(t *testing.T) {
 	s, c := newSet(born("1"))
 	var ended []string
--- a/internal/serve/hgreplica/set.go
+++ b/internal/serve/hgreplica/set.go
@@ -12,50 +12,53 @@
 	"hyssopgrade/hgtimer"
 )
 
-// Entry is a replica's registration.
+// Entry is the registration of a replica.
 type Entry struct {
 	ID      string
 	Service string
-	// Address is the IP address and port.
+	// Address is the IP address and port that serve requests.
 	Address string
-	// Domain is the failure domain.
+	// Domain is the failure domain of the replica.
 	Domain string
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests that the replica runs at once; further ones wait there.
 	Slots int
-	// Leaving says that the replica takes no new requests.
+	// Leaving says that the replica takes no new requests because it is about to end.
 	Leaving bool
-	// ColdLeft is how much longer the replica is slow after its start.
+	// ColdLeft is how much longer the replica is slow because it has just started.
 	ColdLeft time.Duration
-	// Born names the start of the replica; another one means that it holds and knows nothing of before.
+	// Born identifies the start of the process. If it changes, the replica has restarted and has lost its cache and state.
 	Born string
 }
 
 type replica struct {
 	Entry
 	client *http.Client
-	// idle is how long the client keeps unused connections.
+	// idle is how long the client keeps unused connections open.
 	idle time.Duration
-	// lapsed is when a missing registration counts as gone; 0 while it is there.
-	lapsed   time.Duration
+	// lapsesAt is when a missing registration counts as gone; 0 while the registration is listed.
+	lapsesAt time.Duration
+	// inFlight is the number of requests that this node placed on the replica.
 	inFlight int
-	// others is the number of requests of other nodes, as of othersAt.
-	others   int
-	othersAt time.Duration
-	// gossip is the number of requests that the peers say they run there.
-	gossip   int
-	delay    float64
-	delayAt  time.Duration
+	// reported is the number of requests of other nodes by the replica's last load report, which arrived at reportedAt.
+	reported   int
+	reportedAt time.Duration
+	// peerInFlight is the number of requests that the peers have in flight there, by their heartbeats.
+	peerInFlight int
+	// delay is the moving average of the time to the first byte in nanoseconds, last updated at delayAt; 0 before any answer.
+	delay   float64
+	delayAt time.Duration
+	// failures is the decayed number of failures as of failedAt.
 	failures float64
 	failedAt time.Duration
 	// streak is the number of failures since the last answer.
 	streak int
-	// saidLeaving says that the replica itself has told that it leaves.
-	saidLeaving bool
-	// misdirected says that another replica has the address.
+	// announcedLeaving says that the replica itself announced that it is leaving.
+	announcedLeaving bool
+	// misdirected says that another replica has taken over the address.
 	misdirected bool
 }
 
-// Set holds the replicas of all services; it is safe for concurrent use.
+// Set tracks the replicas of all services; it is safe for concurrent use.
 type Set struct {
 	timer     hgtimer.Timer
 	domain    string
@@ -63,26 +66,28 @@
 
 	mu       sync.Mutex
 	replicas map[string]*replica
-	// byService holds the same replicas by service.
+	// byService groups the same replicas by service.
 	byService map[string][]*replica
-	// left holds the runs of replicas that have told that they leave, with the time of that.
-	left map[Lifetime]time.Duration
-	// onEnd is called for each replica that has ended without having said that it leaves.
+	// announced holds the time at which each incarnation was first known to be leaving by its announcement.
+	announced map[Lifetime]time.Duration
+	// onEnd is called for each replica that ended or restarted without having been known to be leaving.
 	onEnd func(id string)
-	// holds is how long requests of each service held a slot lately, in nanoseconds.
+	// holds is the moving average of how long requests of each service hold a slot after their first byte, in nanoseconds.
 	holds map[string]float64
 }
 
-// NewSet returns an empty set for a node in a failure domain; newClient makes the client of each replica.
+// NewSet returns an empty set for a node in a failure domain; newClient makes the client of a replica, which keeps unused
+// connections open for idle.
 func NewSet(timer hgtimer.Timer, domain string, newClient func(idle time.Duration) *http.Client) *Set {
-	return &Set{timer: timer, domain: domain, newClient: newClient, replicas: map[string]*replica{}, left: map[Lifetime]time.Duration{}, holds: map[string]float64{}}
+	return &Set{timer: timer, domain: domain, newClient: newClient, replicas: map[string]*replica{}, announced: map[Lifetime]time.Duration{}, holds: map[string]float64{}}
 }
 
-// OnEnd sets what is called for each replica that has ended, or started again, without having said that it leaves. It is
-// to be called before the first registrations.
+// OnEnd sets the function that is called for each replica that ended or restarted without having been known to be leaving.
+// It must be called before the first Apply.
 func (s *Set) OnEnd(fn func(id string)) { s.onEnd = fn }
 
-// Apply replaces the registrations. After an outage of the store missing ones stay for the time that is left to come back.
+// Apply replaces the registrations. lapse is the time that is left for replicas to register again after an outage of the
+// store, or 0; until it has passed, replicas without a registration stay usable.
 func (s *Set) Apply(entries map[string]Entry, lapse time.Duration) {
 	for _, id := range s.replace(entries, lapse) {
 		if s.onEnd != nil {
@@ -91,7 +96,7 @@
 	}
 }
 
-// replace takes over the registrations and returns the replicas that have ended without having said that they leave.
+// replace updates the replicas and returns the IDs of those that ended or restarted without having been known to be leaving.
 func (s *Set) replace(entries map[string]Entry, lapse time.Duration) (ended []string) {
 	now := s.timer.Now()
 	s.mu.Lock()
@@ -105,13 +110,13 @@
 		if _, ok := entries[id]; ok {
 			continue
 		}
-		if lapse > 0 && r.lapsed == 0 {
-			r.lapsed = now + lapse
+		if lapse > 0 && r.lapsesAt == 0 {
+			r.lapsesAt = now + lapse
 		}
-		if lapse == 0 && (r.lapsed == 0 || now >= r.lapsed) {
+		if lapse == 0 && (r.lapsesAt == 0 || now >= r.lapsesAt) {
 			r.client.CloseIdleConnections()
 			delete(s.replicas, id)
-			if !r.leaves() {
+			if !r.isLeaving() {
 				ended = append(ended, id)
 			}
 		}
@@ -120,31 +125,33 @@
 	return ended
 }
 
-// apply takes over a registration and says whether the replica has started again without having said that it leaves.
-func (s *Set) apply(id string, e Entry) (again bool) {
+// apply updates a replica from its registration and reports whether it restarted without having been known to be leaving;
+// s.mu is held.
+func (s *Set) apply(id string, e Entry) (restarted bool) {
 	r, ok := s.replicas[id]
 	if !ok || r.Born != e.Born || r.Address != e.Address || r.Service != e.Service {
 		if ok {
 			r.client.CloseIdleConnections()
 		}
-		s.replicas[id] = &replica{Entry: e, client: s.newClient(defaultIdle), idle: defaultIdle, saidLeaving: s.hasLeft(e)}
-		return ok && !r.leaves()
+		s.replicas[id] = &replica{Entry: e, client: s.newClient(defaultIdle), idle: defaultIdle, announcedLeaving: s.hasAnnouncedLeaving(e)}
+		return ok && !r.isLeaving()
 	}
 	r.Entry = e
-	r.lapsed = 0
+	r.lapsesAt = 0
 	return false
 }
 
 const (
-	// defaultIdle is how long connections are kept until the replica has said how long it keeps them.
+	// defaultIdle is how long unused connections are kept open until the replica has reported how long it keeps them.
 	defaultIdle = 4 * time.Second
-	// idleMargin is the time by which a connection is given up before the replica closes it.
+	// idleMargin is how much earlier than the replica this node closes an unused connection.
 	idleMargin = 1500 * time.Millisecond
-	// minIdle is the least time that a connection is kept.
+	// minIdle is the shortest time for which an unused connection is kept open.
 	minIdle = 500 * time.Millisecond
 )
 
-// keepIdle takes over how long the replica keeps connections; those that are open end by the old time. s.mu is held.
+// keepIdle adapts the client to how long the replica keeps unused connections. Connections that are already open keep their
+// old timeout. s.mu is held.
 func (s *Set) keepIdle(r *replica, keeps time.Duration) {
 	idle := max(keeps-idleMargin, minIdle)
 	if idle == r.idle {
@@ -153,37 +160,42 @@
 	r.idle, r.client = idle, s.newClient(idle)
 }
 
-// Want describes a request to a choice.
+// Want describes a request for which a replica is picked.
 type Want struct {
 	Service string
-	// Exclude names the replicas that are out of question.
+	// Exclude holds the IDs of replicas that must not be picked.
 	Exclude map[string]bool
-	// Prompt is the length of the prompt in tokens, and Kept how many of them a replica need not read again.
+	// Prompt is the length of the prompt in tokens, and Kept how many of them each replica has cached, by replica ID.
 	Prompt int
 	Kept   map[string]int
-	// Far is what it costs to use another failure domain.
+	// Far is the cost of a replica in another failure domain.
 	Far time.Duration
-	// Fetch says what it takes to fetch kept parts of the prompt from another replica.
+	// Fetch is the cost of fetching cached prompt tokens from another replica.
 	Fetch Fetch
-	// Window bounds the requests on a replica, as a multiple of its slots; 0 is no bound.
+	// Window bounds the requests in flight on a replica, as a multiple of its slots; 0 means no bound.
 	Window float64
 }
 
-// Why is what decided for a replica: the tokens to read and to fetch, the requests in flight of this node and of all, the
-// age of the replica's report of its load, the expected loss, and the number of replicas it was chosen from.
+// Why holds the figures for which a replica was picked; they are logged with the request.
 type Why struct {
+	// Miss and Fetch are the prompt tokens that the replica has to read and to fetch. Own and All are the requests in flight
+	// there, of the node that picked and of all nodes.
 	Miss, Fetch, Own, All int
-	ReportAge             time.Duration
-	Cost                  time.Duration
-	Of                    int
+	// ReportAge is the age of the replica's last load report.
+	ReportAge time.Duration
+	// Cost is the time that the request is expected to lose.
+	Cost time.Duration
+	// Of is the number of replicas that could have been picked.
+	Of int
 }
 
-// Pick chooses the replica on which the request loses the least time; ok is false if none is left.
+// Pick returns a lease on the replica on which the request is expected to lose the least time; ok is false if no usable
+// replica is below w.Window.
 func (s *Set) Pick(w Want) (l *Lease, ok bool) {
 	now := s.timer.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	usual := s.usual(w.Service)
+	baseline := s.baseline(w.Service)
 	sources := s.sources(w, now)
 	var best *replica
 	var why Why
@@ -194,19 +206,19 @@
 		if !r.isUsable(w, now) {
 			continue
 		}
-		v := r.view(now, usual)
+		v := r.view(now, baseline)
 		if w.Window > 0 && float64(v.inFlight) >= w.Window*float64(v.slots) {
 			continue
 		}
 		v.hold = max(time.Duration(s.holds[w.Service]), minHold)
 		if r.Domain != s.domain {
-			v.far = w.Far
+			v.farCost = w.Far
 		}
-		source := sources.apply(&v, w, r.ID)
-		// A small random part spreads choices that nodes make at the same time on the same reports.
+		source := sources.planFetch(&v, w, r.ID)
+		// A small random part spreads the picks that nodes make at the same time from the same load reports.
 		if c := v.cost() + time.Duration(rand.Int64N(int64(2*time.Millisecond))); c < least {
 			best, from, least = r, source, c
-			why = Why{Miss: v.miss, Fetch: v.fetch, Own: r.inFlight, All: v.inFlight, ReportAge: now - r.othersAt, Cost: c}
+			why = Why{Miss: v.missTokens, Fetch: v.fetchTokens, Own: r.inFlight, All: v.inFlight, ReportAge: now - r.reportedAt, Cost: c}
 		}
 		of++
 	}
@@ -222,15 +234,17 @@
 	return l, true
 }
 
-// isUsable says whether a replica may get a request.
+// isUsable reports whether the replica may get the request, regardless of its load.
 func (r *replica) isUsable(w Want, now time.Duration) bool {
-	return r.Service == w.Service && !w.Exclude[r.ID] && r.out(now) == ""
+	return r.Service == w.Service && !w.Exclude[r.ID] && r.unusableReason(now) == ""
 }
 
-func (s *Set) usual(service string) time.Duration {
+// baseline returns the least average time to the first byte among the replicas of a service that are not leaving; 0 before
+// any answer. s.mu is held.
+func (s *Set) baseline(service string) time.Duration {
 	least := math.MaxFloat64
 	for _, r := range s.byService[service] {
-		if !r.leaves() && r.delay > 0 {
+		if !r.isLeaving() && r.delay > 0 {
 			least = min(least, r.delay)
 		}
 	}
@@ -240,62 +254,64 @@
 	return time.Duration(least)
 }
 
-// elsewhere returns the number of requests of other nodes, by the replica's own report while it is fresh.
-func (r *replica) elsewhere(now time.Duration) int {
-	if now-r.othersAt < loadFor {
-		return max(r.others, r.gossip)
+// othersInFlight returns the number of requests of other nodes: the heartbeats' figure, or that of the replica's own load
+// report if it is fresh and higher.
+func (r *replica) othersInFlight(now time.Duration) int {
+	if now-r.reportedAt < loadReportTTL {
+		return max(r.reported, r.peerInFlight)
 	}
-	return r.gossip
+	return r.peerInFlight
 }
 
-func (r *replica) view(now, usual time.Duration) view {
+func (r *replica) view(now, baseline time.Duration) view {
 	delay := time.Duration(r.delay)
-	if excess := r.delay - float64(usual); excess > 0 {
-		delay = usual + time.Duration(excess*halved(now-r.delayAt, slowHalfLife))
+	if excess := r.delay - float64(baseline); excess > 0 {
+		delay = baseline + time.Duration(excess*decay(now-r.delayAt, delayHalfLife))
 	}
 	return view{
-		slots: r.Slots, inFlight: r.inFlight + r.elsewhere(now), delay: delay, usual: usual,
+		slots: r.Slots, inFlight: r.inFlight + r.othersInFlight(now), delay: delay, baseline: baseline,
 		failures: r.recentFailures(now), coldLeft: r.ColdLeft,
 	}
 }
 
-// recentFailures returns the failures with their weight at a time.
+// recentFailures returns the number of failures, decayed to now.
 func (r *replica) recentFailures(now time.Duration) float64 {
 	if r.failures == 0 {
 		return 0
 	}
-	return r.failures * halved(now-r.failedAt, failureHalfLife*time.Duration(min(max(r.streak, 1), maxStreak)))
+	return r.failures * decay(now-r.failedAt, failureHalfLife*time.Duration(min(max(r.streak, 1), maxStreak)))
 }
 
-// failed counts failures.
-func (r *replica) failed(now time.Duration, n float64) {
+// addFailures adds n failures to the decayed count.
+func (r *replica) addFailures(now time.Duration, n float64) {
 	r.failures = r.recentFailures(now) + n
 	r.failedAt = now
 }
 
-// errored counts an answer that the replica failed a request. A single one may be the request's own fault; from the second
-// one without an answer between them on they count, as a replica that fails at once looks idle and draws requests.
-func (r *replica) errored(now time.Duration) {
+// recordError records that the replica ran a request and answered with a failure. A single one may be the fault of the
+// request. From errorStreak such answers in a row on they count as failures of the replica: one that fails requests at once
+// looks idle and would attract more of them.
+func (r *replica) recordError(now time.Duration) {
 	r.streak++
 	switch {
 	case r.streak == errorStreak:
-		r.failed(now, errorStreak)
+		r.addFailures(now, errorStreak)
 	case r.streak > errorStreak:
-		r.failed(now, 1)
+		r.addFailures(now, 1)
 	}
 }
 
-// halved returns what is left of something after a time in which it halves again and again.
-func halved(age, halfLife time.Duration) float64 {
+// decay returns the factor that remains after age of a value that halves every halfLife.
+func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// observeHold takes how long a request held a slot after its first byte; s.mu is held.
+// observeHold adds the time that a request held a slot after its first byte to the average of its service; s.mu is held.
 func (s *Set) observeHold(service string, held time.Duration) {
-	s.holds[service] += observedWeight * (float64(held) - s.holds[service])
+	s.holds[service] += averageWeight * (float64(held) - s.holds[service])
 }
 
-// InFlight returns the number of this node's requests on each replica that runs one.
+// InFlight returns the number of requests that this node placed, for each replica that has any.
 func (s *Set) InFlight() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -308,16 +324,16 @@
 	return n
 }
 
-// SetGossip replaces the number of requests that the peers run on each replica.
+// SetGossip replaces the number of requests that the peers have in flight on each replica, as their heartbeats say.
 func (s *Set) SetGossip(n map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, r := range s.replicas {
-		r.gossip = n[id]
+		r.peerInFlight = n[id]
 	}
 }
 
-// HasAny says whether a replica may get a request, now or when it has room.
+// HasAny reports whether a replica may get the request, now or once it has capacity.
 func (s *Set) HasAny(w Want) bool {
 	now := s.timer.Now()
 	s.mu.Lock()
@@ -330,15 +346,15 @@
 	return false
 }
 
-// Load returns the requests on the replicas of a service as a multiple of their slots.
+// Load returns the requests in flight per slot on the replicas of a service, without those that are leaving.
 func (s *Set) Load(service string) float64 {
 	now := s.timer.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	requests, slots := 0, 0
 	for _, r := range s.byService[service] {
-		if !r.leaves() {
-			requests += r.inFlight + r.elsewhere(now)
+		if !r.isLeaving() {
+			requests += r.inFlight + r.othersInFlight(now)
 			slots += r.Slots
 		}
 	}
@@ -348,42 +364,45 @@
 	return float64(requests) / float64(slots)
 }
 
-// Summary describes a replica for operators; Out says why it gets no requests, or nothing if it does.
+// Summary describes a replica for operators.
 type Summary struct {
-	ID       string
-	Service  string
-	Domain   string
-	Out      string
+	ID      string
+	Service string
+	Domain  string
+	// Out says why the replica gets no requests; empty if it does.
+	Out string
+	// InFlight is the number of requests that this node placed there.
 	InFlight int
+	// Failures is the number of failures, decayed to the time of the summary.
 	Failures float64
-	// Delay is the usual time to the first byte.
+	// Delay is the average time to the first byte.
 	Delay time.Duration
 }
 
-// Summaries returns all replicas.
+// Summaries returns a summary of each replica, in no particular order.
 func (s *Set) Summaries() (all []Summary) {
 	now := s.timer.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.replicas {
 		all = append(all, Summary{
-			ID: r.ID, Service: r.Service, Domain: r.Domain, Out: r.out(now), InFlight: r.inFlight,
+			ID: r.ID, Service: r.Service, Domain: r.Domain, Out: r.unusableReason(now), InFlight: r.inFlight,
 			Failures: r.recentFailures(now), Delay: time.Duration(r.delay),
 		})
 	}
 	return all
 }
 
-// out says why a replica gets no requests; nothing if it does.
-func (r *replica) out(now time.Duration) string {
+// unusableReason says why the replica gets no requests; it is empty if the replica gets some.
+func (r *replica) unusableReason(now time.Duration) string {
 	switch {
 	case r.Leaving:
 		return "leaving"
-	case r.saidLeaving:
+	case r.announcedLeaving:
 		return "leaving, as it says itself"
 	case r.misdirected:
 		return "another replica has its address"
-	case r.lapsed > 0 && now >= r.lapsed:
+	case r.lapsesAt > 0 && now >= r.lapsesAt:
 		return "not registered"
 	}
 	return ""
--- a/internal/serve/hgreplica/set_test.go
+++ b/internal/serve/hgreplica/set_test.go
@@ -13,7 +13,7 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// clock is a timer whose time is set.
+// clock is a timer whose time the test sets.
 type clock struct {
 	hgtimer.Timer
 	now time.Duration
@@ -36,7 +36,7 @@
 	return hgreplica.Entry{ID: id, Service: "s", Address: id + ":1", Domain: domain, Slots: 4}
 }
 
-// picks counts where n requests in flight at once go.
+// picks takes n leases at once, releases them, and returns how many went to each replica.
 func picks(s *hgreplica.Set, w hgreplica.Want, n int) map[string]int {
 	w.Service = "s"
 	leases := lo.Times(n, func(int) *hgreplica.Lease {
@@ -97,7 +97,7 @@
 	}
 }
 
-// A slow or failing replica is avoided within a few answers, and tried again after some seconds.
+// A slow or failing replica is avoided after a few answers, and tried again after some seconds.
 func TestAvoidance(t *testing.T) {
 	tests := map[string]func(l *hgreplica.Lease){
 		"slow":    func(l *hgreplica.Lease) { l.Answered(hgattempt.Answer{}, 400*time.Millisecond) },
@@ -129,7 +129,8 @@
 	}
 }
 
-// Registrations that lapsed in an outage stay in use for two seconds.
+// Replicas whose registrations lapsed during an outage of the store stay usable for the time that is left to register again,
+// which is two seconds at most.
 func TestLapsedRegistration(t *testing.T) {
 	both := byID([]hgreplica.Entry{entry("a", "north"), entry("b", "north")})
 	one := byID([]hgreplica.Entry{entry("a", "north")})
@@ -160,11 +161,12 @@
 	}
 }
 
-// Kept parts are fetched from the replica that keeps the most, unless waiting there costs less, or reading them does.
+// Cached prompt tokens are fetched from the replica that has the most of them, unless running there or reading them anew
+// costs less.
 func TestFetch(t *testing.T) {
 	fetch := hgreplica.Fetch{Setup: time.Millisecond, PerToken: time.Microsecond / 2, Charge: 10 * time.Microsecond}
-	dear := fetch
-	dear.Charge = time.Millisecond
+	expensive := fetch
+	expensive.Charge = time.Millisecond
 	leaving := entry("b", "north")
 	leaving.Leaving = true
 	tests := map[string]struct {
@@ -178,7 +180,7 @@
 		"free where it is kept":   {entry("b", "north"), fetch, map[string]int{"b": 9000}, 0, "b", "", 1000},
 		"busy where it is kept":   {entry("b", "north"), fetch, map[string]int{"b": 9000}, 40, "a", "b:1", 1000},
 		"part of it here as well": {entry("b", "north"), fetch, map[string]int{"b": 9000, "a": 4000}, 40, "a", "b:1", 1000},
-		"fetching is dear":        {entry("b", "north"), dear, map[string]int{"b": 9000}, 400, "a", "", 10000},
+		"fetching is dear":        {entry("b", "north"), expensive, map[string]int{"b": 9000}, 400, "a", "", 10000},
 		"no fetching":             {entry("b", "north"), hgreplica.Fetch{}, map[string]int{"b": 9000}, 400, "a", "", 10000},
 		"kept by one that leaves": {leaving, fetch, map[string]int{"b": 9000}, 0, "a", "", 10000},
 	}
@@ -194,7 +196,7 @@
 	}
 }
 
-// A place that another node has given is not counted here, and its end is told with what was seen.
+// An adopted lease is not counted as in flight here, and its release reports the outcome.
 func TestAdopt(t *testing.T) {
 	s, c := newSet(entry("a", "north"))
 	var got hgreplica.Outcome
@@ -211,11 +213,12 @@
 		t.Errorf("outcome (-want +got):\n%s", diff)
 	}
 	if _, ok := s.Adopt("gone", "", hgreplica.Why{}, nil); ok {
-		t.Error("adopted a place on a replica that is not there")
+		t.Error("adopted a lease on an unknown replica")
 	}
 }
 
-// A single failed request says nothing of its replica; failures in a row count, and longer the more there are.
+// A single failed request may be the fault of the request and does not count against the replica. Failures in a row do, and
+// for longer the more there are.
 func TestErrorsInARow(t *testing.T) {
 	fail, answer := hgattempt.Answer{Failed: true}, hgattempt.Answer{}
 	tests := map[string]struct {
@@ -223,13 +226,13 @@
 		after   time.Duration
 		draws   bool
 	}{
-		"one":                      {[]hgattempt.Answer{fail}, 0, true},
-		"with answers between":     {[]hgattempt.Answer{fail, answer, fail, answer, fail}, 0, true},
-		"two":                      {[]hgattempt.Answer{fail, fail}, 0, false},
-		"two, long ago":            {[]hgattempt.Answer{fail, fail}, time.Minute, true},
-		"many, some seconds ago":   {[]hgattempt.Answer{fail, fail, fail, fail, fail, fail}, 10 * time.Second, false},
-		"many and then an answer":  {[]hgattempt.Answer{fail, fail, fail, answer}, 20 * time.Second, true},
-		"not run, which is no one": {[]hgattempt.Answer{{NotRun: true}, {NotRun: true}, {NotRun: true}}, 0, true},
+		"one":                          {[]hgattempt.Answer{fail}, 0, true},
+		"with answers between":         {[]hgattempt.Answer{fail, answer, fail, answer, fail}, 0, true},
+		"two":                          {[]hgattempt.Answer{fail, fail}, 0, false},
+		"two, long ago":                {[]hgattempt.Answer{fail, fail}, time.Minute, true},
+		"many, some seconds ago":       {[]hgattempt.Answer{fail, fail, fail, fail, fail, fail}, 10 * time.Second, false},
+		"many and then an answer":      {[]hgattempt.Answer{fail, fail, fail, answer}, 20 * time.Second, true},
+		"not run, which is no failure": {[]hgattempt.Answer{{NotRun: true}, {NotRun: true}, {NotRun: true}}, 0, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -117,7 +117,7 @@
 red silentPeers TestMembers internal/peer/hgpeer \
   internal/peer/hgpeer/members.go 's/limit := concernFor/limit := silentBeats * farBeats * m.period()/'
 red saysLeaving TestLeavingReplicaSaysSoInAnswers internal/proof/hgsite \
-  internal/serve/hgreplica/leaving.go 's/r\.saidLeaving = true/r.saidLeaving = false/'
+  internal/serve/hgreplica/leaving.go 's/r\.announcedLeaving = true/r.announcedLeaving = false/'
 red lapse TestWatchOutage internal/state/hgfeed \
   internal/state/hgfeed/feed.go 's/return max\(w\.regained\+lapseTime-w\.timer\.Now\(\), 0\)/return lapseTime/'
 red full TestNewProgramsWait internal/proof/hgsite \
