--- a/hgprogram/program.go
+++ b/hgprogram/program.go
@@ -11,8 +11,9 @@
 	"hyssopgrade/hgcall"
 )
 
-// turn is one call of a program.
+// turn is one call of a program, to a model or to a tool.
 type turn struct {
+	// n is the number of the last record that changed the call.
 	n          uint64
 	seq        uint64
 	request    string
@@ -22,29 +23,38 @@
 	idempotent bool
 	messages   []hgcall.Message
 	body       []byte
-	reserved   uint64
-	result     hgcall.Result
+	// reserved is the number of tokens that the call may use, taken from the root program's budget.
+	reserved uint64
+	// result has the state Open until the call has ended.
+	result hgcall.Result
 }
 
-// program is one program; a root program holds the budget of all its sub-agents.
+// program is the state of one program. A root program holds the budget for itself and all its sub-agents.
 type program struct {
-	id       string
+	id string
+	// budget, spent and reserved count tokens; they are used in root programs only.
 	budget   uint64
 	spent    uint64
 	reserved uint64
-	lost     uint64
-	next     uint64
-	open     *turn
-	turns    []*turn
-	// conversation is the digest of the history.
-	conversation string
-	byRequest    map[string]*turn
-	context      uint64
-	ended        bool
-	lastActive   time.Duration
+	// lostTokens is the part of spent that was charged for dispatches whose outcomes were lost.
+	lostTokens uint64
+	// nextSeq is the sequence number of the next call.
+	nextSeq uint64
+	// open is the call in progress, or nil.
+	open *turn
+	// turns are the calls that have ended, in order, without those that were not run.
+	turns []*turn
+	// conversationDigest is the digest of the history.
+	conversationDigest string
+	// byRequest holds the calls by request identifier, those that were not run included.
+	byRequest map[string]*turn
+	// contextTokens is the number of tokens in the history.
+	contextTokens uint64
+	ended         bool
+	lastActive    time.Duration
 }
 
-// history returns the messages of the answered model calls, in order.
+// history returns the program's conversation: the messages and answers of its completed model calls, in order.
 func (p *program) history() []hgcall.Message {
 	var ms []hgcall.Message
 	for _, t := range p.turns {
@@ -53,7 +63,7 @@
 	return ms
 }
 
-// conversation returns the messages that the call has added to the program's history.
+// conversation returns the messages that the call added to the program's history: none unless it is a completed model call.
 func (t *turn) conversation() []hgcall.Message {
 	if t.kind != hgcall.Model || t.result.State != hgcall.Done {
 		return nil
@@ -62,7 +72,8 @@
 	return append(slices.Clip(t.messages), answer)
 }
 
-// Apply changes the state by one record; records up to N are skipped, a gap or a bad record is a BadParameter error.
+// Apply applies one record. A record that is already applied is skipped; a gap in the numbers or an invalid record is a
+// BadParameter error.
 func (s *Shard) Apply(r Record, now time.Duration) (err error) {
 	if r.N <= s.n {
 		return nil
@@ -79,7 +90,7 @@
 
 func (s *Shard) apply(r Record, now time.Duration) (err error) {
 	if r.Type == Opened {
-		s.programs[r.Program] = &program{id: r.Program, budget: r.Tokens, next: 1, byRequest: map[string]*turn{}, lastActive: now}
+		s.programs[r.Program] = &program{id: r.Program, budget: r.Tokens, nextSeq: 1, byRequest: map[string]*turn{}, lastActive: now}
 		return nil
 	}
 	p, root := s.programs[r.Program], s.programs[hgcall.Root(r.Program)]
@@ -89,11 +100,11 @@
 	p.lastActive, root.lastActive = now, now
 	switch r.Type {
 	case Intent:
-		return p.intent(root, r)
+		return p.applyIntent(root, r)
 	case Outcome:
-		return p.outcome(root, r)
+		return p.applyOutcome(root, r)
 	case Abandoned:
-		return p.abandon(root, r)
+		return p.applyAbandoned(root, r)
 	case Renewed:
 		return nil
 	case Charged:
@@ -102,14 +113,14 @@
 	case Ended:
 		p.ended = true
 		return nil
-	case Forgotten:
+	case Evicted:
 		delete(s.programs, r.Program)
 		return nil
 	}
 	return trace.BadParameter("record %d has unknown type %d", r.N, r.Type)
 }
 
-func (p *program) intent(root *program, r Record) (err error) {
+func (p *program) applyIntent(root *program, r Record) (err error) {
 	if p.open != nil {
 		return trace.BadParameter("record %d: program %q has an open call", r.N, p.id)
 	}
@@ -124,7 +135,7 @@
 	return nil
 }
 
-func (p *program) outcome(root *program, r Record) (err error) {
+func (p *program) applyOutcome(root *program, r Record) (err error) {
 	if r.Result == nil {
 		return trace.BadParameter("record %d has no result", r.N)
 	}
@@ -141,14 +152,14 @@
 	if t.result.State == hgcall.NotRun {
 		return nil
 	}
-	p.next = t.seq + 1
-	p.context += r.Result.InputTokens + r.Result.OutputTokens
+	p.nextSeq = t.seq + 1
+	p.contextTokens += r.Result.InputTokens + r.Result.OutputTokens
 	p.turns = append(p.turns, t)
-	p.conversation = hgcall.ConversationDigest(p.conversation, t.conversation()...)
+	p.conversationDigest = hgcall.ConversationDigest(p.conversationDigest, t.conversation()...)
 	return nil
 }
 
-func (p *program) abandon(root *program, r Record) (err error) {
+func (p *program) applyAbandoned(root *program, r Record) (err error) {
 	t := p.open
 	if t == nil || t.request != r.Request {
 		return trace.BadParameter("record %d: request %q is not open", r.N, r.Request)
@@ -160,13 +171,13 @@
 	return nil
 }
 
-// charge spends tokens of a dispatch whose outcome was lost.
+// charge counts the tokens reserved for a dispatch whose outcome was lost as spent.
 func (p *program) charge(tokens uint64) {
 	p.spent += tokens
-	p.lost += tokens
+	p.lostTokens += tokens
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (s *Shard) Restore(snap Snapshot, now time.Duration) (err error) {
 	defer func() { err = trace.Wrap(err, "restore snapshot of record %d", snap.N) }()
 	s.programs = map[string]*program{}
@@ -179,7 +190,7 @@
 	return nil
 }
 
-// Snapshot returns the state as records.
+// Snapshot returns the records that rebuild the present state, ordered by program identifier.
 func (s *Shard) Snapshot() Snapshot {
 	snap := Snapshot{N: s.n}
 	ids := lo.Keys(s.programs)
@@ -190,10 +201,11 @@
 	return snap
 }
 
+// records returns the records that rebuild the program. A tombstone, which has no intent, has an empty kind.
 func (p *program) records() []Record {
 	recs := []Record{{Type: Opened, Program: p.id, Tokens: p.budget}}
-	if p.lost > 0 {
-		recs = append(recs, Record{Type: Charged, Program: p.id, Tokens: p.lost})
+	if p.lostTokens > 0 {
+		recs = append(recs, Record{Type: Charged, Program: p.id, Tokens: p.lostTokens})
 	}
 	turns := lo.Values(p.byRequest)
 	slices.SortFunc(turns, func(a, b *turn) int { return int(a.n) - int(b.n) })
--- a/hgprogram/record.go
+++ b/hgprogram/record.go
@@ -4,32 +4,35 @@
 	"hyssopgrade/hgcall"
 )
 
-// RecordType says what a record changes.
+// RecordType is what a record changes. Its values are stored.
 type RecordType uint8
 
 // The types of records.
 const (
-	// Opened adds a program.
+	// Opened adds a program with its budget.
 	Opened RecordType = iota + 1
-	// Intent opens a call and reserves its tokens.
+	// Intent opens a call and reserves its tokens. It is committed before the call is dispatched.
 	Intent
-	// Outcome closes a call and settles its tokens.
+	// Outcome closes a call with its result and replaces its reservation by the tokens that it used. Without an intent it is a
+	// tombstone: the request will never run.
 	Outcome
-	// Abandoned closes an idempotent call whose dispatch was lost, so that it can run again; its reservation counts as spent.
+	// Abandoned closes a call without a result, so that it can run again. For an idempotent call whose dispatch was lost the
+	// reservation counts as spent; a call that no endpoint ran costs nothing.
 	Abandoned
-	// Ended ends a program.
+	// Ended ends a program: it accepts no new calls.
 	Ended
-	// Forgotten removes a program.
-	Forgotten
-	// Charged spends tokens of dispatches whose outcomes were lost; it stands in snapshots only.
+	// Evicted removes an idle program and its history.
+	Evicted
+	// Charged counts tokens as spent for dispatches whose outcomes were lost. It occurs in snapshots only.
 	Charged
-	// Renewed proves that the shard was still owned after an intent; it changes nothing else.
+	// Renewed follows an intent that was not dispatched in time. It changes nothing: a commit of it shows that the node still
+	// owned the shard at that later time, from which the dispatch window then counts.
 	Renewed
 )
 
 // Record is one durable change of a shard.
 type Record struct {
-	// N counts the shard's records over all its owners, from 1.
+	// N is the record's number in the shard, from 1; it goes on when the owner changes.
 	N          uint64           `cbor:"1,keyasint"`
 	Type       RecordType       `cbor:"2,keyasint"`
 	Program    string           `cbor:"3,keyasint"`
@@ -47,7 +50,7 @@
 	Result *hgcall.Result `cbor:"13,keyasint,omitempty"`
 }
 
-// Snapshot is the state of a shard up to its record N, as records that rebuild it.
+// Snapshot holds the records that rebuild the state of a shard as of its record N.
 type Snapshot struct {
 	N       uint64   `cbor:"1,keyasint"`
 	Records []Record `cbor:"2,keyasint"`
--- a/hgprogram/shard_test.go
+++ b/hgprogram/shard_test.go
@@ -33,7 +33,7 @@
 		"next while running":          {func(s *Shard) { s.Begin(call("p", 1, "a"), limits, 0) }, call("p", 2, "b"), "wait"},
 		"copy after the answer":       {func(s *Shard) { s.Begin(call("p", 1, "a"), limits, 0); s.Finish("p", "a", done, 0) }, call("p", 1, "a"), "answer"},
 		"same identifier, other call": {func(s *Shard) { s.Begin(call("p", 1, "a"), limits, 0) }, call("p", 2, "a"), "invalid request"},
-		"used place":                  {func(s *Shard) { s.Begin(call("p", 1, "a"), limits, 0); s.Finish("p", "a", done, 0) }, call("p", 1, "b"), "invalid seq"},
+		"sequence number is used":     {func(s *Shard) { s.Begin(call("p", 1, "a"), limits, 0); s.Finish("p", "a", done, 0) }, call("p", 1, "b"), "invalid seq"},
 		"after the end":               {func(s *Shard) { s.Begin(call("p", 1, "a"), limits, 0); s.Finish("p", "a", done, 0); s.End("p", 0) }, call("p", 2, "b"), "invalid "},
 		"sub-agent without parent":    {func(*Shard) {}, call("p/a", 1, "b"), "wait"},
 		"budget is used up": {func(s *Shard) {
@@ -42,7 +42,7 @@
 			s.Begin(c, limits, 0)
 			s.Finish("p", "a", done, 0)
 		}, call("p/agent", 1, "b"), "notRun "},
-		"not run, place is free": {func(s *Shard) {
+		"not run, sequence number is free": {func(s *Shard) {
 			s.Begin(call("p", 1, "a"), limits, 0)
 			s.Finish("p", "a", hgcall.Result{State: hgcall.NotRun}, 0)
 		}, call("p", 1, "b"), "run"},
@@ -75,24 +75,24 @@
 	return "nothing"
 }
 
-// TestShardKeepsItsPromises runs random calls, copies, outcomes and losses: budgets hold, replay and snapshots rebuild the
-// state, each identifier keeps its fate, and a program's answers stay in order.
-func TestShardKeepsItsPromises(t *testing.T) {
+// TestShardInvariants runs random calls, duplicates, outcomes and lost dispatches. Budgets must hold, replayed records and
+// snapshots must rebuild the state, and a request that was answered must never run again.
+func TestShardInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, journal := NewShard(), []Record{}
-		fate := map[string]string{}
+		answered := map[string]string{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			program := rapid.SampledFrom([]string{"p", "p/a", "p/b", "q"}).Draw(t, "program")
-			journal = append(journal, step(t, s, program, i, fate)...)
+			journal = append(journal, step(t, s, program, i, answered)...)
 			checkBudgets(t, s)
 		}
-		again := NewShard()
+		replayed := NewShard()
 		for _, r := range journal {
-			if err := again.Apply(r, 0); err != nil {
+			if err := replayed.Apply(r, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if diff := cmp.Diff(s.Snapshot(), again.Snapshot()); diff != "" {
+		if diff := cmp.Diff(s.Snapshot(), replayed.Snapshot()); diff != "" {
 			t.Fatalf("replayed state differs:\n%s", diff)
 		}
 		restored := NewShard()
@@ -108,8 +108,8 @@
 	})
 }
 
-// step does one random thing to a program and returns its records.
-func step(t *rapid.T, s *Shard, program string, i int, fate map[string]string) []Record {
+// step takes one random action on a program and returns its records.
+func step(t *rapid.T, s *Shard, program string, i int, answered map[string]string) []Record {
 	p := s.programs[program]
 	open := p != nil && p.open != nil
 	switch rapid.IntRange(0, 5).Draw(t, "action") {
@@ -134,18 +134,18 @@
 	default:
 		next := uint64(1)
 		if p != nil {
-			next = p.next
+			next = p.nextSeq
 		}
 		c := call(program, next, fmt.Sprintf("r%d", rapid.IntRange(0, i).Draw(t, "request")))
 		c.Budget = 300
 		switch d := s.Begin(c, limits, 0).(type) {
 		case Run:
-			if fate[program+c.Request] == "ended" {
+			if answered[program+c.Request] == "ended" {
 				t.Fatalf("request %s of %s runs again", c.Request, program)
 			}
 			return d.Records
 		case Answer:
-			fate[program+c.Request] = "ended"
+			answered[program+c.Request] = "ended"
 		case Refuse:
 			return d.Records
 		}
--- a/hgprogram/view.go
+++ b/hgprogram/view.go
@@ -9,7 +9,7 @@
 	"hyssopgrade/hgcall"
 )
 
-// OpenCall is a call that was begun and has no outcome.
+// OpenCall is a call that was begun and has no outcome yet. The next owner of a shard has to find out what became of it.
 type OpenCall struct {
 	Program    string
 	Request    string
@@ -17,7 +17,7 @@
 	Idempotent bool
 }
 
-// OpenCalls returns the calls without outcome, by program.
+// OpenCalls returns the calls without an outcome, ordered by program.
 func (s *Shard) OpenCalls() []OpenCall {
 	var calls []OpenCall
 	for _, p := range s.programs {
@@ -29,7 +29,7 @@
 	return calls
 }
 
-// Summary describes one program.
+// Summary describes one program for operators.
 type Summary struct {
 	Program  string `json:"program"`
 	Calls    int    `json:"calls"`
@@ -44,19 +44,19 @@
 	Idle time.Duration `json:"idle"`
 }
 
-// Summary returns the description of one program.
+// Summary returns the summary of one program; ok is false if the shard does not hold it.
 func (s *Shard) Summary(programID string, now time.Duration) (sum Summary, ok bool) {
 	p := s.programs[programID]
 	if p == nil {
 		return sum, false
 	}
 	return Summary{
-		Program: p.id, Calls: len(p.turns), NextSeq: p.next, Running: p.open != nil, Ended: p.ended,
-		Budget: p.budget, Spent: p.spent, Reserved: p.reserved, Context: p.context, Idle: now - p.lastActive,
+		Program: p.id, Calls: len(p.turns), NextSeq: p.nextSeq, Running: p.open != nil, Ended: p.ended,
+		Budget: p.budget, Spent: p.spent, Reserved: p.reserved, Context: p.contextTokens, Idle: now - p.lastActive,
 	}, true
 }
 
-// Summaries returns the descriptions of all programs, by identifier.
+// Summaries returns the summaries of all programs, ordered by identifier.
 func (s *Shard) Summaries(now time.Duration) []Summary {
 	ids := lo.Keys(s.programs)
 	sort.Strings(ids)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -36,7 +36,7 @@
 
 wanted=("$@")
 red order TestOrderAcrossNodes internal/proof/hgproof \
-  hgprogram/shard.go 's/case c\.Seq > p\.next \|\| p\.open != nil:/case p.open != nil:/'
+  hgprogram/shard.go 's/case c\.Seq > p\.nextSeq \|\| p\.open != nil:/case p.open != nil:/'
 red history TestHistorySurvivesKills internal/proof/hgproof \
   internal/serve/hgowner/call.go 's/(func \(o \*Owner\) confirm.*?\{\n)/$1\tif s.epoch == epoch {\n\t\treturn nil\n\t}\n/'
 red budget TestBudgetHolds internal/proof/hgproof \
