--- a/hgshard/doc.go
+++ b/hgshard/doc.go
@@ -1,2 +1,3 @@
-// Package hgshard plans which shards a node takes and gives up, as a state machine: rows and members in, a plan out.
+// Package hgshard maps programs to shards and shards to nodes, and plans as a deterministic state machine which shards a node
+// claims and releases: shard rows and members go in, a plan comes out.
 package hgshard
--- a/hgshard/plan.go
+++ b/hgshard/plan.go
@@ -11,12 +11,12 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// Of returns the shard of a program, which is that of its root program.
+// Of returns the shard of a program. Sub-agents are in the shard of their root program, whose budget they share.
 func Of(program string, shards uint32) uint32 {
 	return uint32(xxhash.Sum64String(hgcall.Root(program)) % uint64(shards))
 }
 
-// Preferred returns the member that rendezvous hashing gives the shard; ok is false without members.
+// Preferred returns the member that should own the shard by rendezvous hashing; ok is false if there are no members.
 func Preferred(shard uint32, members []hgmember.Member) (m hgmember.Member, ok bool) {
 	first := Ranked(hgjournal.ShardKey(shard), members, 1)
 	if len(first) == 0 {
@@ -25,7 +25,7 @@
 	return first[0], true
 }
 
-// Ranked returns the n members that rendezvous hashing gives the key, best first.
+// Ranked returns the first n members, or all if there are fewer, in the order of rendezvous hashing for the key.
 func Ranked(key string, members []hgmember.Member, n int) []hgmember.Member {
 	weight := func(m hgmember.Member) uint64 { return xxhash.Sum64String(m.ID + "\x00" + key) }
 	ranked := append([]hgmember.Member(nil), members...)
@@ -33,28 +33,30 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// Plan is what to do about shards.
+// Plan is the shards that a node should claim and release now.
 type Plan struct {
-	// Claim are the rows to take over as they were seen.
+	// Claim are the rows of the shards to claim, as they were read; a claim is conditional on their versions.
 	Claim []hgjournal.SeenRow
-	// Release are held shards that another member should own.
+	// Release are the held shards that another member should own.
 	Release []uint32
 }
 
-// Planner plans; it is a state machine without locks.
+// Planner plans the claims and releases of one node. It is not safe for concurrent use.
 type Planner struct {
-	settle   time.Duration
-	unwanted map[uint32]time.Duration
+	settle time.Duration
+	// misplaced holds since when another member has been preferred for a held shard.
+	misplaced map[uint32]time.Duration
 }
 
-// NewPlanner returns a planner that releases a shard once another member has been preferred for the settle time.
+// NewPlanner returns a planner that releases a shard when another member has been preferred for it for the settle time, so that
+// a short change of the membership moves no shards. A draining node releases at once.
 func NewPlanner(settle time.Duration) *Planner {
-	return &Planner{settle: settle, unwanted: map[uint32]time.Duration{}}
+	return &Planner{settle: settle, misplaced: map[uint32]time.Duration{}}
 }
 
-// Plan compares the rows with the view. held tells whether this node commits for a shard;
-// a row that names this run but is not held is claimed anew, whoever is preferred: the reply to its claim was lost,
-// or its recovery failed, and as long as this run lives no other node takes it.
+// Plan compares the shard rows with the view. held reports whether this node commits for a shard. A row that names this run but
+// whose shard is not held is claimed again, whichever member is preferred: the reply to the claim was lost or the recovery
+// failed, and no other node takes the shard over as long as this run is alive.
 func (p *Planner) Plan(rows []hgjournal.SeenRow, v *hgmember.View, held func(shard uint32) bool, draining bool, now time.Duration) (plan Plan) {
 	takers := v.Takers(draining, now)
 	self := v.Self()
@@ -62,7 +64,7 @@
 		m, ok := Preferred(r.Shard, takers)
 		mine := ok && m.ID == self.ID
 		if held(r.Shard) {
-			if p.release(r.Shard, mine || !ok, draining, now) {
+			if p.shouldRelease(r.Shard, mine || !ok, draining, now) {
 				plan.Release = append(plan.Release, r.Shard)
 			}
 			continue
@@ -75,16 +77,16 @@
 	return plan
 }
 
-// release tells whether a held shard has been unwanted for long enough.
-func (p *Planner) release(shard uint32, wanted, draining bool, now time.Duration) bool {
-	if wanted {
-		delete(p.unwanted, shard)
+// shouldRelease reports whether to release a held shard now; preferred says that this node should own it.
+func (p *Planner) shouldRelease(shard uint32, preferred, draining bool, now time.Duration) bool {
+	if preferred {
+		delete(p.misplaced, shard)
 		return false
 	}
-	since, ok := p.unwanted[shard]
+	since, ok := p.misplaced[shard]
 	if !ok {
 		since = now
-		p.unwanted[shard] = now
+		p.misplaced[shard] = now
 	}
 	return draining || now-since >= p.settle
 }
--- a/hgshard/plan_test.go
+++ b/hgshard/plan_test.go
@@ -11,8 +11,8 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// cell returns the view of node a, which hears b, and a shard for which each of them is preferred.
-func cell(t *testing.T) (v *hgmember.View, mine, theirs uint32) {
+// viewOfA returns the view of node a, to which b is live and c is dead, and one shard for which a and one for which b is preferred.
+func viewOfA(t *testing.T) (v *hgmember.View, mine, theirs uint32) {
 	t.Helper()
 	v = hgmember.NewView(hgmember.Member{ID: "a", Run: "a1", Domain: "x"}, hgmember.Limits{Silent: time.Second, Stale: time.Minute, Gone: time.Hour})
 	v.Registered([]hgmember.Member{{ID: "b", Run: "b1", Domain: "y"}, {ID: "c", Run: "c1", Domain: "z"}}, 0)
@@ -53,7 +53,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			v, mine, theirs := cell(t)
+			v, mine, theirs := viewOfA(t)
 			shard := theirs
 			if tc.preferred {
 				shard = mine
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestEveryShardFindsAnOwner plays the plans of three nodes that see each other until nothing is left to do,
-// from every mixture of owners, held or not.
+// TestEveryShardFindsAnOwner applies the plans of three nodes that hear each other, from every mixture of owners, held or not.
+// Afterwards each shard must be held by its preferred node.
 func TestEveryShardFindsAnOwner(t *testing.T) {
 	const shards = 64
 	ids := []string{"a", "b", "c"}
@@ -114,7 +114,7 @@
 	}
 }
 
-// viewOf returns the view of a node that hears all others.
+// viewOf returns the view of a node to which all others are live.
 func viewOf(id string, ids []string, now time.Duration) *hgmember.View {
 	self := hgmember.Member{ID: id, Run: id + "1", Domain: fmt.Sprint("domain of ", id)}
 	v := hgmember.NewView(self, hgmember.Limits{Silent: time.Second, Stale: time.Minute, Gone: time.Hour})
