--- a/hgmember/view.go
+++ b/hgmember/view.go
@@ -9,10 +9,10 @@
 	"hyssopgrade/hgcodec"
 )
 
-// Prefix is the prefix of the registration rows.
+// Prefix begins the keys of the registration rows; a node's identifier follows.
 const Prefix = "node/"
 
-// Member is a node as it registers itself.
+// Member is a node's registration, as the node writes it to the store.
 type Member struct {
 	ID     string `json:"id"`
 	Run    string `json:"run"`
@@ -20,24 +20,24 @@
 	// Public and Inner are the addresses for callers and for other nodes.
 	Public string `json:"public"`
 	Inner  string `json:"inner"`
-	// Beat grows with each refresh of the registration.
+	// Beat grows with each refresh of the registration, so that other nodes see it change.
 	Beat uint64 `json:"beat"`
 }
 
 // MemberCodec is the codec of the registration rows.
 var MemberCodec hgcodec.JSON[Member]
 
-// Limits are the times after which a silent node counts as gone.
+// Limits are the timeouts after which a node without heartbeats or refreshes is no longer counted as alive.
 type Limits struct {
-	// Silent is the time without a heartbeat after which a node is silent.
+	// Silent is the time without a heartbeat after which a peer is silent.
 	Silent time.Duration
-	// Stale is the time without a refresh after which a registration is stale.
+	// Stale is the time without a refresh after which the registration of a silent peer is stale and its shards may be taken over.
 	Stale time.Duration
-	// Gone is the time without a refresh after which a registration is forgotten.
+	// Gone is the time without a refresh after which a silent peer is dropped from the view.
 	Gone time.Duration
 }
 
-// Heartbeat is what one node says of itself and of the others.
+// Heartbeat is a node's report on itself and on the peers that it does not hear.
 type Heartbeat struct {
 	ID       string
 	Run      string
@@ -46,31 +46,36 @@
 	Silent []string
 }
 
+// peer is a registered peer with its last heartbeat.
 type peer struct {
 	Member
+	// refreshed is when this node first saw the present registration.
 	refreshed time.Duration
-	heard     time.Duration
-	heardRun  string
-	draining  bool
-	silent    []string
+	// heard is when the last heartbeat came, or never.
+	heard time.Duration
+	// heardRun, draining and silent are the contents of the last heartbeat.
+	heardRun string
+	draining bool
+	silent   []string
 }
 
-// View is what a node knows of its cell; it is a state machine without locks.
+// View is what a node knows of its cell's members. It is not safe for concurrent use.
 type View struct {
 	self  Member
 	lim   Limits
 	peers map[string]*peer
 }
 
-// NewView returns the view of a node that knows no other.
+// NewView returns the view of the node self that knows no peers yet.
 func NewView(self Member, lim Limits) *View {
 	return &View{self: self, lim: lim, peers: map[string]*peer{}}
 }
 
-// never is the time of what has not happened.
+// never is the time of a heartbeat that has not come; it is further back than Limits.Silent.
 const never = -time.Hour
 
-// Registered tells the registrations as read from the table.
+// Registered updates the view by the registrations that were read from the store. Peers without a registration are dropped, and
+// so are silent peers whose registration was not refreshed for Limits.Gone.
 func (v *View) Registered(members []Member, now time.Duration) {
 	found := map[string]bool{}
 	for _, m := range members {
@@ -92,7 +97,7 @@
 	})
 }
 
-// Heard tells a peer's heartbeat.
+// Heard updates the view by a peer's heartbeat; one from an unregistered node is ignored.
 func (v *View) Heard(h Heartbeat, now time.Duration) {
 	p := v.peers[h.ID]
 	if p == nil {
@@ -101,17 +106,17 @@
 	p.heard, p.heardRun, p.draining, p.silent = now, h.Run, h.Draining, h.Silent
 }
 
-// Self returns the node itself.
+// Self returns the registration of the view's own node.
 func (v *View) Self() Member { return v.self }
 
-// Peers returns all registered peers, by identifier.
+// Peers returns all registered peers, ordered by identifier.
 func (v *View) Peers() []Member {
 	ids := lo.Keys(v.peers)
 	sort.Strings(ids)
 	return lo.Map(ids, func(id string, _ int) Member { return v.peers[id].Member })
 }
 
-// Member returns a registered member.
+// Member returns the registration of this node or of a peer; ok is false for an unknown identifier.
 func (v *View) Member(id string) (m Member, ok bool) {
 	if id == v.self.ID {
 		return v.self, true
@@ -123,15 +128,16 @@
 	return p.Member, true
 }
 
-// hears tells whether a peer was heard lately.
-func (v *View) hears(p *peer, now time.Duration) bool { return now-p.heard < v.lim.Silent }
+// isLive reports whether a heartbeat of the peer came within Limits.Silent.
+func (v *View) isLive(p *peer, now time.Duration) bool { return now-p.heard < v.lim.Silent }
 
-// Live returns the peers that are heard, by identifier.
+// Live returns the peers that are not silent, ordered by identifier.
 func (v *View) Live(now time.Duration) []Member {
-	return lo.Filter(v.Peers(), func(m Member, _ int) bool { return v.hears(v.peers[m.ID], now) })
+	return lo.Filter(v.Peers(), func(m Member, _ int) bool { return v.isLive(v.peers[m.ID], now) })
 }
 
-// Takers returns the members that may take shards: those heard that are not draining, with the node itself unless it drains.
+// Takers returns the members that may own shards: the live peers that are not draining, then the node itself unless it is
+// draining.
 func (v *View) Takers(draining bool, now time.Duration) []Member {
 	takers := lo.Filter(v.Live(now), func(m Member, _ int) bool { return !v.peers[m.ID].draining })
 	if !draining {
@@ -140,13 +146,14 @@
 	return takers
 }
 
-// Silent returns the peers that are not heard, by identifier.
+// Silent returns the identifiers of the peers that are silent, in order.
 func (v *View) Silent(now time.Duration) []string {
-	return lo.FilterMap(v.Peers(), func(m Member, _ int) (string, bool) { return m.ID, !v.hears(v.peers[m.ID], now) })
+	return lo.FilterMap(v.Peers(), func(m Member, _ int) (string, bool) { return m.ID, !v.isLive(v.peers[m.ID], now) })
 }
 
-// Dead tells whether a run of a node may be taken over: another run of the node is registered, its registration
-// is gone or stale, or it is silent to this node and to a live peer in another failure domain, and no live peer hears it.
+// Dead reports whether the shards of a run of a node may be taken over. They may if another run of the node is registered or
+// heard, if its registration is gone or stale, or if the node is silent to this node and to all live peers, of which at least one
+// is in another failure domain than this node: within one domain all may be cut off from a node that is alive.
 func (v *View) Dead(id, run string, now time.Duration) bool {
 	if id == v.self.ID {
 		return run != v.self.Run
@@ -155,14 +162,14 @@
 	switch {
 	case p == nil || p.Run != run:
 		return true
-	case v.hears(p, now):
+	case v.isLive(p, now):
 		return p.heardRun != run
 	case now-p.refreshed > v.lim.Stale:
 		return true
 	}
 	confirmed := false
 	for _, q := range v.peers {
-		if q.ID == id || !v.hears(q, now) {
+		if q.ID == id || !v.isLive(q, now) {
 			continue
 		}
 		if !lo.Contains(q.silent, id) {
--- a/hgmember/view_test.go
+++ b/hgmember/view_test.go
@@ -9,7 +9,7 @@
 
 var lim = Limits{Silent: 2 * time.Second, Stale: 15 * time.Second, Gone: 300 * time.Second}
 
-// TestDead asks whether node b may be taken over at 10 s, when a has last read the registrations at 0.
+// TestDead checks whether node a may take over the shards of node b, if a last read the registrations at 0 s.
 func TestDead(t *testing.T) {
 	beat := func(id string, silent ...string) Heartbeat { return Heartbeat{ID: id, Run: id + "1", Silent: silent} }
 	now := 10 * time.Second
