--- a/hgpreset/choose.go
+++ b/hgpreset/choose.go
@@ -11,23 +11,23 @@
 	"hyssopgrade/hgstore"
 )
 
-// logPrefix is the prefix of the rows that keep each accepted version.
+// logPrefix begins the keys of the rows that record each accepted version.
 const logPrefix = "preset/log/"
 
 func logKey(n uint64) string { return fmt.Sprintf("%s%016d", logPrefix, n) }
 
-// Taken reports that another choice was accepted first.
+// Taken is the error of a choice that lost the race: Winner was accepted under the same version number.
 type Taken struct{ Winner Version }
 
-// Error names the winner.
+// Error returns who took the version and for which preset.
 func (e *Taken) Error() string {
 	return fmt.Sprintf("version %d was taken by %s for preset %q", e.Winner.Number, e.Winner.By, e.Winner.Preset.Name)
 }
 
-// chooseRetry is the wait after an ambiguous reply.
+// chooseRetry is the delay before a transaction is sent again whose outcome is not known.
 const chooseRetry = 50 * time.Millisecond
 
-// Load returns the version in force; without a row it is first, and version is 0.
+// Load returns the version in force and the version of its row. If no choice was made yet these are first and 0.
 func Load(ctx context.Context, store hgstore.Table, first Version) (v Version, version uint64, err error) {
 	defer func() { err = trace.Wrap(err, "read the preset in force") }()
 	row, err := store.Get(ctx, Key)
@@ -42,8 +42,8 @@
 }
 
 // Choose puts a preset in force by compare-and-swap. A *Taken error means that another choice won the race.
-// After an ambiguous reply the log row of the version tells whose choice it was; the same transaction is sent
-// again only while that row does not exist, so that no choice is accepted twice.
+// If a commit fails, it may still have been applied. The log row of the version then shows whose choice was accepted; the same
+// transaction is sent again only while that row does not exist, so that no choice is accepted twice.
 func Choose(ctx context.Context, store hgstore.Table, first Version, p Preset, by string) (v Version, err error) {
 	defer func() { err = trace.Wrap(err, "choose preset %q", p.Name) }()
 	if err := p.Check(); err != nil {
@@ -67,7 +67,7 @@
 		if err == nil {
 			return v, nil
 		}
-		winner, found, _ := logged(ctx, store, v.Number)
+		winner, found, _ := accepted(ctx, store, v.Number)
 		switch {
 		case found && winner.Nonce == v.Nonce:
 			return v, nil
@@ -82,8 +82,8 @@
 	}
 }
 
-// logged returns the accepted version of a number.
-func logged(ctx context.Context, store hgstore.Table, n uint64) (v Version, found bool, err error) {
+// accepted returns the version that was accepted under a number; found is false if there is none yet or it can't be read.
+func accepted(ctx context.Context, store hgstore.Table, n uint64) (v Version, found bool, err error) {
 	row, err := store.Get(ctx, logKey(n))
 	if trace.IsNotFound(err) {
 		return v, false, nil
--- a/hgpreset/define.go
+++ b/hgpreset/define.go
@@ -10,17 +10,17 @@
 	"hyssopgrade/hgstore"
 )
 
-// definitionPrefix is the prefix of the rows that hold the presets that operators created.
+// definitionPrefix begins the keys of the rows of presets that operators created.
 const definitionPrefix = "preset/def/"
 
-// maxDefinitions bounds the presets read at a time.
+// maxDefinitions is the maximum number of created presets that are read.
 const maxDefinitions = 1000
 
-// definitionCodec is the codec of these rows.
+// definitionCodec encodes the rows of created presets.
 var definitionCodec hgcodec.JSON[Preset]
 
-// Create stores a preset, in place of one of the same name; the names of shipped presets are refused with BadParameter.
-// Storing a preset that is in force does not change what is in force.
+// Create stores a preset and replaces one of the same name. The names of shipped presets are refused with BadParameter.
+// To replace the preset in force does not change what is in force until it is chosen again.
 func Create(ctx context.Context, store hgstore.Table, p Preset) (err error) {
 	defer func() { err = trace.Wrap(err, "create preset %q", p.Name) }()
 	if err := p.Check(); err != nil {
@@ -37,7 +37,7 @@
 	return err
 }
 
-// Defined returns the shipped and the created presets, by name.
+// Defined returns all presets, shipped and created, by name. After an error it returns those that could be read.
 func Defined(ctx context.Context, store hgstore.Table) (presets map[string]Preset, err error) {
 	defer func() { err = trace.Wrap(err, "read presets") }()
 	presets = Shipped()
--- a/hgpreset/gate.go
+++ b/hgpreset/gate.go
@@ -11,60 +11,68 @@
 
 // Version is one accepted choice of a preset.
 type Version struct {
-	// Number grows by one with each accepted choice, from 1; 0 is the start before any choice.
+	// Number grows by one with each accepted choice, from 1; 0 is the preset from the settings, before any choice.
 	Number uint64 `json:"number"`
 	Preset Preset `json:"preset"`
-	// By names who chose.
+	// By names the operator who chose.
 	By string `json:"by"`
-	// Nonce tells one's own write of the row from another's.
+	// Nonce identifies the choice, so that its author recognizes it in the row after a lost reply.
 	Nonce string `json:"nonce"`
 }
 
-// VersionCodec is the codec of the row.
+// VersionCodec encodes the row under Key and the rows of accepted versions.
 var VersionCodec hgcodec.JSON[Version]
 
-// Peer is what a peer said about its preset.
+// Peer is the part about presets of a peer's heartbeat.
 type Peer struct {
 	// Number is the version that the peer applies.
 	Number uint64
 	// Age is the time since that version was last known to be the newest.
 	Age time.Duration
-	// StoreFailing says that the peer can't reach the store.
+	// StoreFailing reports that the peer's last read of the preset from the store failed.
 	StoreFailing bool
 }
 
-// Gate knows the version that a node applies and whether the node may take new work under it.
-// It is a state machine without locks.
+// Gate holds the version that a node applies and decides whether the node may take new work under it.
+// It is not safe for concurrent use.
 type Gate struct {
-	bound     time.Duration
-	applied   Version
+	// bound is the age of the last confirmation above which the node takes no new work.
+	bound   time.Duration
+	applied Version
+	// confirmed is the last time at which the applied version was known to be the newest.
 	confirmed time.Duration
-	failing   bool
-	peers     map[string]peerSeen
-	members   []string
+	// storeFailing is set while the last read of the store failed.
+	storeFailing bool
+	peers        map[string]peerReport
+	// members are the identifiers of the peers that have to be heard during an outage of the store.
+	members []string
 }
 
-type peerSeen struct {
+// peerReport is the last report of a peer.
+type peerReport struct {
 	Peer
+	// at is the time at which the peer was asked for the report.
 	at time.Duration
 }
 
-// NewGate returns a gate for a node that applies the version first, unconfirmed, and takes no new work
-// when the version was not confirmed for the bound.
+// NewGate returns the gate of a node that starts with the version first, unconfirmed. It closes when the applied version was not
+// confirmed for longer than bound.
 func NewGate(first Version, bound time.Duration) *Gate {
-	return &Gate{bound: bound, applied: first, confirmed: -bound - 1, peers: map[string]peerSeen{}}
+	return &Gate{bound: bound, applied: first, confirmed: -bound - 1, peers: map[string]peerReport{}}
 }
 
 // Applied returns the version that the node applies.
 func (g *Gate) Applied() Version { return g.applied }
 
-// StoreRead tells the row that a read started at the time `at` returned; changed says that a newer version is applied now.
+// StoreRead records the version that a read of the store returned; the read started at the time `at`. changed reports that
+// v is newer and applied from now on.
 func (g *Gate) StoreRead(v Version, at time.Duration) (changed bool) {
-	g.failing = false
+	g.storeFailing = false
 	return g.Adopt(v, at)
 }
 
-// Adopt tells a version that was the newest at the time `at`; changed says that a newer version is applied now.
+// Adopt records a version that was the newest at the time `at`; an older one is ignored. changed reports that v is newer and applied
+// from now on.
 func (g *Gate) Adopt(v Version, at time.Duration) (changed bool) {
 	if v.Number < g.applied.Number {
 		return false
@@ -75,43 +83,44 @@
 	return changed
 }
 
-// StoreFailed tells that the row could not be read.
-func (g *Gate) StoreFailed() { g.failing = true }
+// StoreFailed records that a read of the store failed.
+func (g *Gate) StoreFailed() { g.storeFailing = true }
 
-// Members replaces the membership that has to be heard during an outage of the store.
+// Members replaces the identifiers of the peers that have to be heard during an outage of the store.
 func (g *Gate) Members(ids []string) { g.members = ids }
 
-// PeerSaid tells what a peer answered to a question asked at the time `at`;
-// behind says that the peer applies a newer version, to be read from it or from the store.
+// PeerSaid records the report that a peer was asked for at the time `at`. A peer that applies the same version confirms it.
+// behind reports that the peer applies a newer version, which is to be read from it or from the store.
 func (g *Gate) PeerSaid(id string, p Peer, at time.Duration) (behind bool) {
-	g.peers[id] = peerSeen{Peer: p, at: at}
+	g.peers[id] = peerReport{Peer: p, at: at}
 	if p.Number == g.applied.Number {
 		g.confirmed = max(g.confirmed, at-p.Age)
 	}
 	return p.Number > g.applied.Number
 }
 
-// PeerNumber returns the version that a peer said it applies.
+// PeerNumber returns the number of the version that a peer last reported to apply, 0 for an unknown peer.
 func (g *Gate) PeerNumber(id string) uint64 { return g.peers[id].Number }
 
-// Age returns the time since the applied version was last known to be the newest.
+// Age returns the time since the applied version was last known to be the newest, 0 while an outage of the store makes a newer one
+// impossible.
 func (g *Gate) Age(now time.Duration) time.Duration {
-	if g.quorumHeard(now) {
+	if g.noNewerPossible(now) {
 		return 0
 	}
 	return now - g.confirmed
 }
 
-// Open tells whether the node may take new work.
+// Open reports whether the node may take new work.
 func (g *Gate) Open(now time.Duration) bool { return g.Age(now) <= g.bound }
 
-// StoreFailing tells whether the last read of the store failed.
-func (g *Gate) StoreFailing() bool { return g.failing }
+// StoreFailing reports whether the last read of the store failed.
+func (g *Gate) StoreFailing() bool { return g.storeFailing }
 
-// quorumHeard tells whether the store is out of reach for every member and each was heard within half the bound
-// with no newer version: a choice goes through a member and the store, so none can have been accepted.
-func (g *Gate) quorumHeard(now time.Duration) bool {
-	if !g.failing || g.confirmed < 0 || len(g.members) == 0 {
+// noNewerPossible reports whether the store is out of reach for this node and for all members, and each member reported the same
+// version within half the bound. A choice has to be written by a member to the store, so that none can have been accepted.
+func (g *Gate) noNewerPossible(now time.Duration) bool {
+	if !g.storeFailing || g.confirmed < 0 || len(g.members) == 0 {
 		return false
 	}
 	for _, id := range g.members {
--- a/hgpreset/preset.go
+++ b/hgpreset/preset.go
@@ -16,32 +16,33 @@
 //go:embed presets/*.toml
 var shipped embed.FS
 
-// Preset is a named set of weights and limits.
+// Preset is a named set of weights and limits for routing, queueing, retention and retries.
 type Preset struct {
-	// Name identifies the preset.
+	// Name identifies the preset; it is a word without '/'.
 	Name string `toml:"name" json:"name"`
 	// RoutePolicy names how a replica is chosen: score, roundRobin, leastInFlight or hashAffinity.
 	RoutePolicy string `toml:"routePolicy" json:"routePolicy"`
 	// QueuePolicy names the order of waiting calls: leastService or arrival.
 	QueuePolicy string `toml:"queuePolicy" json:"queuePolicy"`
-	// Window is the number of calls in flight per replica over all nodes, to start from.
+	// Window is the initial limit on the calls in flight to a replica over all nodes.
 	Window int `toml:"window" json:"window"`
-	// MinWindow and MaxWindow bound the learned window, in calls.
+	// MinWindow and MaxWindow are the least and greatest window to which the limit adapts, in calls.
 	MinWindow int `toml:"minWindow" json:"minWindow"`
 	MaxWindow int `toml:"maxWindow" json:"maxWindow"`
-	// TokenTargetMs is the time between tokens above which the window shrinks, in milliseconds.
+	// TokenTargetMs is the time between the tokens of an answer above which the window shrinks, in milliseconds.
 	TokenTargetMs int `toml:"tokenTargetMs" json:"tokenTargetMs"`
-	// AgeingTokensPerSecond is the service by which a waiting program is favoured per second of waiting.
+	// AgeingTokensPerSecond is the number of tokens of service that a second of waiting makes up for in the queue policy leastService.
 	AgeingTokensPerSecond int `toml:"ageingTokensPerSecond" json:"ageingTokensPerSecond"`
-	// MaxQueue bounds the calls that wait in one node.
+	// MaxQueue is the maximum number of calls that wait in one node.
 	MaxQueue int `toml:"maxQueue" json:"maxQueue"`
-	// MaxNewWaitMs bounds the expected wait of a program's first call, in milliseconds.
+	// MaxNewWaitMs is the maximum expected wait for which a program's first call is accepted, in milliseconds.
 	MaxNewWaitMs int `toml:"maxNewWaitMs" json:"maxNewWaitMs"`
-	// AdmitNew says whether new programs are accepted.
+	// AdmitNew is whether new programs are accepted.
 	AdmitNew bool `toml:"admitNew" json:"admitNew"`
-	// RemoteDomainMs is the cost of a replica in another failure domain, in milliseconds.
+	// RemoteDomainMs is the cost that the policy score adds to a replica in another failure domain, in milliseconds.
 	RemoteDomainMs float64 `toml:"remoteDomainMs" json:"remoteDomainMs"`
-	// RecomputeWeight multiplies the time to compute a prefix anew; more keeps programs on their replicas longer.
+	// RecomputeWeight multiplies the time to compute a prefix anew on another replica; greater weights keep programs on their replicas
+	// longer.
 	RecomputeWeight float64 `toml:"recomputeWeight" json:"recomputeWeight"`
 	// MemoryFillPercent is the share of an engine's memory that live programs may hold before new programs wait; 0 means no limit.
 	MemoryFillPercent int `toml:"memoryFillPercent" json:"memoryFillPercent"`
@@ -49,11 +50,11 @@
 	HoldMs int `toml:"holdMs" json:"holdMs"`
 	// SilenceMs is the time without a call after which a program's engine memory is released, in milliseconds.
 	SilenceMs int `toml:"silenceMs" json:"silenceMs"`
-	// RetryPercent is the most retries per hundred recent calls.
+	// RetryPercent is the maximum number of retries per hundred recent calls.
 	RetryPercent int `toml:"retryPercent" json:"retryPercent"`
 	// DefaultBudgetTokens is the budget of a program that sets none.
 	DefaultBudgetTokens int `toml:"defaultBudgetTokens" json:"defaultBudgetTokens"`
-	// DefaultMaxTokens bounds the output of a call that sets no bound.
+	// DefaultMaxTokens is the limit on the output of a model call that sets none.
 	DefaultMaxTokens int `toml:"defaultMaxTokens" json:"defaultMaxTokens"`
 }
 
@@ -77,6 +78,7 @@
 	return nil
 }
 
+// bounds returns the ranges of the integer keys.
 func (p Preset) bounds() []hgbound.Bound {
 	bound := hgbound.NewBound
 	return []hgbound.Bound{
@@ -96,15 +98,15 @@
 	}
 }
 
-// RoutePolicies returns the names of the routing policies.
+// RoutePolicies returns the valid values of Preset.RoutePolicy.
 func RoutePolicies() []string {
 	return []string{"score", "roundRobin", "leastInFlight", "hashAffinity"}
 }
 
-// QueuePolicies returns the names of the queue orders.
+// QueuePolicies returns the valid values of Preset.QueuePolicy.
 func QueuePolicies() []string { return []string{"leastService", "arrival"} }
 
-// Parse reads a preset from TOML; unknown keys and bad values are BadParameter errors.
+// Parse decodes a preset from TOML and checks it; unknown keys and values out of range are BadParameter errors.
 func Parse(data string) (p Preset, err error) {
 	defer func() { err = trace.Wrap(err, "preset") }()
 	meta, err := toml.Decode(data, &p)
@@ -117,7 +119,7 @@
 	return p, p.Check()
 }
 
-// Shipped returns the presets that come with the program, by name.
+// Shipped returns the presets that are compiled into the program, by name.
 func Shipped() map[string]Preset {
 	files, err := shipped.ReadDir("presets")
 	if err != nil {
@@ -138,7 +140,7 @@
 	return presets
 }
 
-// Names returns the names of presets in order.
+// Names returns the names of the presets in alphabetical order.
 func Names(presets map[string]Preset) []string {
 	names := lo.Keys(presets)
 	sort.Strings(names)
--- a/hgpreset/preset_test.go
+++ b/hgpreset/preset_test.go
@@ -43,23 +43,23 @@
 	}
 }
 
-// checkTimeout bounds the check of one history.
+// checkTimeout limits the time in which porcupine checks one history.
 const checkTimeout = 10 * time.Second
 
-// choice is an operation on the row: a choice by an operator, or a read.
+// choice is the input of an operation on the row of the preset in force: a choice by an operator, or a read.
 type choice struct {
 	by   string
 	read bool
 }
 
-// seen is an operation's outcome: the version accepted or read, or that another won.
+// seen is the outcome of an operation: the version that was accepted or read, or that another choice won.
 type seen struct {
 	number uint64
 	by     string
 	taken  bool
 }
 
-// register is the sequential behaviour of the row.
+// register is the sequential model of the row.
 var register = porcupine.Model{
 	Init: func() any { return seen{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -76,7 +76,8 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// TestChoicesAreLinearizable lets operators race while the store loses replies and goes down.
+// TestChoicesAreLinearizable runs concurrent choices and reads while the store loses replies and goes down. A choice that is sent
+// again after a lost reply and accepted twice, or one that is lost, would break linearizability.
 func TestChoicesAreLinearizable(t *testing.T) {
 	for round := range 20 {
 		synctest.Test(t, func(t *testing.T) {
