--- a/hgcall/call.go
+++ b/hgcall/call.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits of the fields that callers set.
+// Limits on the fields that callers set.
 const (
 	MaxIdentifierBytes = 128
 	MaxSubAgentDepth   = 8
@@ -20,7 +20,7 @@
 	MaxDeadline        = time.Hour
 )
 
-// Kind is what a call runs on.
+// Kind is the kind of a call's target.
 type Kind string
 
 // The kinds of calls.
@@ -29,7 +29,7 @@
 	Tool  Kind = "tool"
 )
 
-// Message is one chat message; Content is a string or a list of parts.
+// Message is one chat message. Content is a string or a list of parts.
 type Message struct {
 	Role       string `json:"role" cbor:"1,keyasint"`
 	Content    any    `json:"content" cbor:"2,keyasint,omitempty"`
@@ -37,39 +37,39 @@
 	ToolCallID string `json:"tool_call_id,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// Call is one request of a program.
+// Call is one request of a program to a model or to a tool.
 type Call struct {
-	// Program identifies the program; a sub-agent's identifier is its parent's, a slash and a name.
+	// Program identifies the program. A sub-agent's identifier is that of its parent, a slash and a name.
 	Program string `json:"program"`
-	// Seq is the call's place in the program, from 1.
+	// Seq is the call's sequence number in the program, from 1.
 	Seq uint64 `json:"seq"`
-	// Request identifies the call; copies of one call carry the same identifier.
+	// Request identifies the call. Duplicates of a call, such as retries, carry the same identifier and get the same answer.
 	Request string `json:"request"`
-	// Kind says whether a model or a tool is called.
+	// Kind is whether a model or a tool is called.
 	Kind Kind `json:"kind"`
-	// Target is a model's name, or a tool service and operation joined by a slash.
+	// Target is the name of a model, or a tool's service and operation joined by a slash.
 	Target string `json:"target"`
-	// Idempotent says that the call may run more than once.
+	// Idempotent is set by the caller if the tool call may run more than once.
 	Idempotent bool `json:"idempotent"`
-	// Messages are a model call's new messages.
+	// Messages are the messages that a model call adds to the program's conversation.
 	Messages []Message `json:"messages,omitempty"`
-	// Body is a tool call's body.
+	// Body is the request body of a tool call.
 	Body []byte `json:"body,omitempty"`
-	// MaxTokens bounds a model call's output; 0 means the default.
+	// MaxTokens limits the output of a model call; 0 means the default of the preset in force.
 	MaxTokens uint64 `json:"maxTokens,omitempty"`
-	// Budget is a root program's token budget, taken from its first call; 0 means the default.
+	// Budget is a root program's token budget. It is read from the program's first call; 0 means the default of the preset in force.
 	Budget uint64 `json:"budget,omitempty"`
 	// Deadline is the time left for the call.
 	Deadline time.Duration `json:"deadline"`
 }
 
-// Root returns the identifier of the root program of the call's program.
+// Root returns the identifier of the root program, to which the call's budget and shard belong.
 func (c Call) Root() string { return Root(c.Program) }
 
-// Service returns what an endpoint has to serve for the call: the model, or the tool's service.
+// Service returns the name of the service that an endpoint must provide to run the call.
 func (c Call) Service() string { return Service(c.Kind, c.Target) }
 
-// Service returns the part of a target that endpoints serve.
+// Service returns the name of the service that runs a target: the model itself, or the tool's service without the operation.
 func Service(k Kind, target string) string {
 	if k == Model {
 		return target
@@ -78,22 +78,22 @@
 	return service
 }
 
-// Repeatable tells whether the call may run more than once, as each model call may.
+// Repeatable reports whether the call may run more than once: an idempotent tool call or any model call.
 func (c Call) Repeatable() bool { return c.Idempotent || c.Kind == Model }
 
-// WithDeadline returns the call with another time left.
+// WithDeadline returns a copy of the call with the deadline d, in time left.
 func (c Call) WithDeadline(d time.Duration) Call {
 	c.Deadline = d
 	return c
 }
 
-// WithMaxTokens returns the call with another bound on its output.
+// WithMaxTokens returns a copy of the call with a limit of n tokens on its output.
 func (c Call) WithMaxTokens(n uint64) Call {
 	c.MaxTokens = n
 	return c
 }
 
-// Root returns the root program's identifier of a program.
+// Root returns the identifier of a program's root program, which is the program's own if it has no parent.
 func Root(program string) string {
 	root, _, _ := strings.Cut(program, "/")
 	return root
@@ -108,7 +108,7 @@
 	return program[:i], true
 }
 
-// Digest returns a hash of what the call does, without its identifiers.
+// Digest returns a hash of the call's kind, target, messages and body. Duplicates of a request must have the same digest.
 func (c Call) Digest() string {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%s\n%s\n%d\n", c.Kind, c.Target, len(c.Messages))
@@ -119,8 +119,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ConversationDigest extends the digest of a conversation, or the empty string, by messages. It depends on the messages
-// and their order, not on the calls that brought them.
+// ConversationDigest returns the digest of a conversation extended by messages, where before is the digest of the conversation so
+// far or the empty string. It depends on the messages and their order, not on how they were divided into calls.
 func ConversationDigest(before string, messages ...Message) string {
 	for _, m := range messages {
 		h := xxhash.New()
@@ -131,11 +131,12 @@
 	return before
 }
 
+// write writes the form of the message that is hashed.
 func (m Message) write(w io.Writer) {
 	fmt.Fprintf(w, "%q %q %q %q\n", m.Role, m.Name, m.ToolCallID, fmt.Sprint(m.Content))
 }
 
-// NewBytes returns the size of the content that the call adds, in bytes.
+// NewBytes returns the size of the call's body and new messages, in bytes.
 func (c Call) NewBytes() uint64 {
 	n := len(c.Body)
 	for _, m := range c.Messages {
@@ -144,7 +145,7 @@
 	return uint64(n)
 }
 
-// Check returns an invalid Refusal that names the first bad field, or nil.
+// Check returns a Refusal of the kind KindInvalid that names the first invalid field, or nil.
 func (c Call) Check() (err error) {
 	switch {
 	case !validProgram(c.Program):
@@ -169,6 +170,7 @@
 	return nil
 }
 
+// validProgram reports whether id consists of 1 to MaxSubAgentDepth identifiers, the root program's first, joined by slashes.
 func validProgram(id string) bool {
 	parts := strings.Split(id, "/")
 	if len(id) > MaxIdentifierBytes || len(parts) > MaxSubAgentDepth {
@@ -182,6 +184,7 @@
 	return true
 }
 
+// validIdentifier reports whether id is not empty, not too long and consists of ASCII letters, digits, '.', '_' and '-'.
 func validIdentifier(id string) bool {
 	if id == "" || len(id) > MaxIdentifierBytes {
 		return false
@@ -195,7 +198,7 @@
 	return true
 }
 
-// CheckProgram returns an invalid Refusal unless id is a program identifier.
+// CheckProgram returns a Refusal of the kind KindInvalid unless id is a valid program identifier.
 func CheckProgram(id string) (err error) {
 	if !validProgram(id) {
 		return Invalid("program", "%q is no program identifier", id)
@@ -203,33 +206,38 @@
 	return nil
 }
 
-// State is how a call ended.
+// State is whether and how a call has ended.
 type State string
 
 // The states of a call.
 const (
-	Open    State = "open"
-	Done    State = "done"
-	Failed  State = "failed"
-	NotRun  State = "notRun"
+	// Open means that the call has no outcome yet.
+	Open State = "open"
+	// Done means that the call ran and has an answer.
+	Done State = "done"
+	// Failed means that the call was dispatched but failed, or had no answer by its deadline; it will not run again.
+	Failed State = "failed"
+	// NotRun means that the call did not run and never will.
+	NotRun State = "notRun"
+	// Unknown means that the call was dispatched and may have run, but its outcome was lost; it will not run again.
 	Unknown State = "unknown"
 )
 
-// Result is the answer to a call.
+// Result is the outcome of a call.
 type Result struct {
 	State State `json:"state"`
 	// Status is the HTTP status of a tool's answer.
 	Status int `json:"status,omitempty"`
-	// Answer is the text of a model or the body of a tool's answer.
+	// Answer is the text that a model generated or the body of a tool's answer.
 	Answer []byte `json:"answer"`
-	// InputTokens and OutputTokens are what the call added to its program.
+	// InputTokens and OutputTokens are the tokens that the call added to its program's context.
 	InputTokens  uint64 `json:"inputTokens"`
 	OutputTokens uint64 `json:"outputTokens"`
-	// Reason says why the call failed.
+	// Reason is why the call has no answer; it is empty for a call that is done.
 	Reason Reason `json:"reason,omitempty"`
 }
 
-// Digest returns a hash of the answer, for the caller to check.
+// Digest returns a hash of the answer, by which the caller checks that it received the answer unchanged.
 func (r Result) Digest() string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(r.Answer))
 }
--- a/hgcall/refusal.go
+++ b/hgcall/refusal.go
@@ -7,59 +7,73 @@
 	"time"
 )
 
-// RefusalKind says what a refusal promises.
+// RefusalKind is what a refusal guarantees about its request.
 type RefusalKind string
 
 // The kinds of refusals.
 const (
-	// KindNotRun promises that the request was not run and never will be.
+	// KindNotRun guarantees that the request was not run and never will be.
 	KindNotRun RefusalKind = "notRun"
-	// KindRunning says that a copy of the request is running.
+	// KindRunning means that the request is running already.
 	KindRunning RefusalKind = "running"
-	// KindUnknown says that the request may have run; it will not run again.
+	// KindUnknown means that the request may have run; it will not run again.
 	KindUnknown RefusalKind = "unknown"
-	// KindUnavailable promises nothing; the same request may be sent again.
+	// KindUnavailable guarantees nothing; the same request may be sent again under the same identifier.
 	KindUnavailable RefusalKind = "unavailable"
-	// KindInvalid names a field that has to change before the request can run.
+	// KindInvalid means that Field has to change before the request can run.
 	KindInvalid RefusalKind = "invalid"
 )
 
-// Reason says why a request was refused or failed.
+// Reason is the cause for which a request was refused or failed.
 type Reason string
 
-// The reasons of refusals.
+// The reasons of refusals and failures.
 const (
-	ReasonOverload     Reason = "overload"
-	ReasonDeadline     Reason = "deadline"
-	ReasonBudget       Reason = "budget"
-	ReasonOutOfOrder   Reason = "outOfOrder"
-	ReasonEnded        Reason = "ended"
-	ReasonQuarantined  Reason = "quarantined"
-	ReasonStore        Reason = "storeUnavailable"
-	ReasonOwner        Reason = "ownerUnavailable"
-	ReasonEndpoint     Reason = "endpointUnavailable"
-	ReasonPreset       Reason = "presetUnconfirmed"
-	ReasonDispatched   Reason = "dispatchedWithoutOutcome"
-	ReasonInProgress   Reason = "inProgress"
-	ReasonBadField     Reason = "badField"
+	// ReasonOverload means that the expected wait is too long or that the preset in force takes no new programs.
+	ReasonOverload Reason = "overload"
+	// ReasonDeadline means that the call's deadline passed.
+	ReasonDeadline Reason = "deadline"
+	// ReasonBudget means that the tokens left in the root program's budget do not cover the call.
+	ReasonBudget Reason = "budget"
+	// ReasonOutOfOrder means that earlier calls of the program have not ended.
+	ReasonOutOfOrder Reason = "outOfOrder"
+	// ReasonEnded means that the program has ended.
+	ReasonEnded Reason = "ended"
+	// ReasonQuarantined means that requests with the same content crashed endpoints.
+	ReasonQuarantined Reason = "quarantined"
+	// ReasonStore means that the platform's store is not reachable or did not confirm a record in time.
+	ReasonStore Reason = "storeUnavailable"
+	// ReasonOwner means that the owner of the program's shard is not reachable.
+	ReasonOwner Reason = "ownerUnavailable"
+	// ReasonEndpoint means that there was no connection to an endpoint for the target.
+	ReasonEndpoint Reason = "endpointUnavailable"
+	// ReasonPreset means that the node can't confirm the preset in force.
+	ReasonPreset Reason = "presetUnconfirmed"
+	// ReasonDispatched means that the call was dispatched and its outcome was lost.
+	ReasonDispatched Reason = "dispatchedWithoutOutcome"
+	// ReasonInProgress means that the request is running already.
+	ReasonInProgress Reason = "inProgress"
+	// ReasonBadField means that a field of the request is invalid.
+	ReasonBadField Reason = "badField"
+	// ReasonEndpointFail means that the endpoint failed while it ran the call, or that a tool answered with a status of 400 or more.
 	ReasonEndpointFail Reason = "endpointFailed"
-	// ReasonNoAnswer is given by the caller library alone.
+	// ReasonNoAnswer is set by the callers' client library only.
 	ReasonNoAnswer Reason = "noFinalAnswer"
 )
 
-// Refusal is the final answer to a request that gets no result.
+// Refusal is the answer to a request that gets no result. It is an error.
 type Refusal struct {
 	Kind   RefusalKind `json:"kind"`
 	Reason Reason      `json:"reason"`
-	// Field names the bad field of an invalid request.
+	// Field is the name of the invalid field, for KindInvalid.
 	Field string `json:"field,omitempty"`
-	// Detail explains the refusal to a person.
+	// Detail explains the refusal to a human reader.
 	Detail string `json:"detail"`
-	// RetryAfter is when to come back; 0 means never with this request.
+	// RetryAfter is the time after which to retry; 0 means never to retry this request.
 	RetryAfter time.Duration `json:"retryAfter"`
 }
 
-// Error returns the refusal as one line.
+// Error returns the kind, reason, detail and field in one line.
 func (r *Refusal) Error() string {
 	s := fmt.Sprintf("%s (%s): %s", r.Kind, r.Reason, r.Detail)
 	if r.Field != "" {
@@ -68,13 +82,13 @@
 	return s
 }
 
-// WithRetryAfter returns the refusal with another time to come back.
+// WithRetryAfter returns a copy of the refusal with RetryAfter set to d.
 func (r Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return &r
 }
 
-// Status returns the HTTP status for the refusal.
+// Status returns the HTTP status of the refusal.
 func (r *Refusal) Status() int {
 	switch {
 	case r.Kind == KindInvalid:
@@ -93,19 +107,20 @@
 	return http.StatusServiceUnavailable
 }
 
-// NewRefusal returns a refusal of the given kind.
+// NewRefusal returns a refusal whose detail is formatted from format and args.
 func NewRefusal(kind RefusalKind, reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{Kind: kind, Reason: reason, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Invalid returns the refusal of a bad field.
+// Invalid returns a refusal of the kind KindInvalid for the field, with a formatted detail.
 func Invalid(field, format string, args ...any) *Refusal {
 	r := NewRefusal(KindInvalid, ReasonBadField, 0, format, args...)
 	r.Field = field
 	return r
 }
 
-// AsRefusal returns the Refusal in err; any other error becomes an unavailable refusal.
+// AsRefusal returns the Refusal that err wraps. Any other error becomes a refusal of the kind KindUnavailable with the reason
+// ReasonOwner and the error's text as its detail.
 func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
