--- a/hgcodec/codec.go
+++ b/hgcodec/codec.go
@@ -9,26 +9,26 @@
 	"github.com/gravitational/trace"
 )
 
-// Codec turns values of one type into bytes and back.
+// Codec encodes and decodes values of one type.
 type Codec[T any] interface {
 	// Encode returns the encoded form of v.
 	Encode(v T) (data []byte, err error)
-	// Decode returns the value in data, or a BadParameter error for damaged, trailing or unknown content.
+	// Decode returns the value in data. Damaged data, data after the value and unknown fields are BadParameter errors.
 	Decode(data []byte) (v T, err error)
-	// String names the codec.
+	// String returns the name of the codec.
 	String() string
 }
 
-// JSON is the strict JSON codec.
+// JSON is a codec that writes JSON and rejects unknown fields.
 type JSON[T any] struct{}
 
-// Encode returns v as JSON.
+// Encode returns v as JSON in one line.
 func (JSON[T]) Encode(v T) (data []byte, err error) {
 	defer func() { err = trace.Wrap(err, "encode JSON %T", v) }()
 	return json.Marshal(v)
 }
 
-// Decode reads exactly one JSON value and refuses unknown fields.
+// Decode decodes data, which must be exactly one JSON value without unknown fields.
 func (JSON[T]) Decode(data []byte) (v T, err error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -41,13 +41,14 @@
 	return v, nil
 }
 
-// String names the codec.
+// String returns the codec's name, json.
 func (JSON[T]) String() string { return "json" }
 
-// CBOR is the strict CBOR codec.
+// CBOR is a codec that writes CBOR and rejects unknown fields.
 type CBOR[T any] struct{}
 
-var strict = func() cbor.DecMode {
+// strictCBOR rejects unknown fields and limits arrays and maps to 1<<24 elements.
+var strictCBOR = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		MaxArrayElements:  1 << 24,
@@ -59,19 +60,19 @@
 	return m
 }()
 
-// Encode returns v as CBOR.
+// Encode returns v as one CBOR item.
 func (CBOR[T]) Encode(v T) (data []byte, err error) {
 	defer func() { err = trace.Wrap(err, "encode CBOR %T", v) }()
 	return cbor.Marshal(v)
 }
 
-// Decode reads exactly one CBOR value and refuses unknown fields.
+// Decode decodes data, which must be exactly one CBOR item without unknown fields.
 func (CBOR[T]) Decode(data []byte) (v T, err error) {
-	if err := strict.Unmarshal(data, &v); err != nil {
+	if err := strictCBOR.Unmarshal(data, &v); err != nil {
 		return v, trace.BadParameter("decode CBOR %T: %v", v, err)
 	}
 	return v, nil
 }
 
-// String names the codec.
+// String returns the codec's name, cbor.
 func (CBOR[T]) String() string { return "cbor" }
