--- a/hgstore/memory.go
+++ b/hgstore/memory.go
@@ -11,17 +11,17 @@
 	"github.com/gravitational/trace"
 )
 
-// Fault says how a Memory store misbehaves.
+// Fault is the faults that a Memory store injects.
 type Fault struct {
-	// Down refuses every operation.
+	// Down fails every operation without executing it.
 	Down bool `json:"down"`
 	// DelayMs delays every operation, in milliseconds.
 	DelayMs int `json:"delayMs"`
-	// LoseReplies is the number of coming commits that take effect but report an error.
+	// LoseReplies is the number of following commits that take effect but return an error.
 	LoseReplies int `json:"loseReplies"`
-	// Silent names parts of tables, as in table/PART/key, whose operations stay without an answer.
+	// Silent names parts of tables, as in table/PART/key. Operations on their keys do not return until their context ends.
 	Silent []string `json:"silent"`
-	// LagMs is the age of the VM list that is returned, in milliseconds.
+	// LagMs is the time by which the returned VM list is out of date, in milliseconds.
 	LagMs int `json:"lagMs"`
 }
 
@@ -34,12 +34,13 @@
 	ReadBytes uint64 `json:"readBytes"`
 }
 
+// vmsAt is the VM list as it was set at a time.
 type vmsAt struct {
 	at  time.Time
 	vms []VM
 }
 
-// Memory is the in-memory Store; it can be made to fail.
+// Memory is an in-memory Store and Feed that can inject faults. It is safe for concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[string]Row
@@ -53,34 +54,34 @@
 	changed chan struct{}
 }
 
-// NewMemory returns an empty store.
+// NewMemory returns an empty store without faults.
 func NewMemory() *Memory {
 	return &Memory{rows: map[string]Row{}, objects: map[string][]byte{}, changed: make(chan struct{})}
 }
 
-// SetFault replaces the faults in force.
+// SetFault replaces the injected faults.
 func (m *Memory) SetFault(f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// SetVMs replaces the VM list.
+// SetVMs replaces the VM list. Earlier lists are kept for Fault.LagMs.
 func (m *Memory) SetVMs(vms []VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.vms = append(m.vms, vmsAt{at: time.Now(), vms: append([]VM(nil), vms...)})
 }
 
-// Usage returns the operations executed so far.
+// Usage returns the counts of the operations executed so far.
 func (m *Memory) Usage() Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.usage
 }
 
-// begin applies the faults to an operation on keys.
-func (m *Memory) begin(ctx context.Context, keys ...string) (err error) {
+// injectFaults applies the faults to an operation on keys and returns its error if it is not to be executed.
+func (m *Memory) injectFaults(ctx context.Context, keys ...string) (err error) {
 	m.mu.Lock()
 	f := m.fault
 	m.mu.Unlock()
@@ -103,9 +104,9 @@
 	return ctx.Err()
 }
 
-// Get returns one row.
+// Get returns one row, or a trace.NotFound error.
 func (m *Memory) Get(ctx context.Context, key string) (row Row, err error) {
-	if err := m.begin(ctx, key); err != nil {
+	if err := m.injectFaults(ctx, key); err != nil {
 		return row, err
 	}
 	m.mu.Lock()
@@ -119,9 +120,9 @@
 	return row, nil
 }
 
-// Scan returns rows in key order.
+// Scan returns up to limit rows with the prefix, in key order, after the key `after`.
 func (m *Memory) Scan(ctx context.Context, prefix, after string, limit int) (rows []Row, err error) {
-	if err := m.begin(ctx, prefix); err != nil {
+	if err := m.injectFaults(ctx, prefix); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -141,15 +142,15 @@
 	return rows, nil
 }
 
-// Commit applies a transaction.
+// Commit applies t if all its conditions hold, or returns a *ConflictError.
 func (m *Memory) Commit(ctx context.Context, t Txn) (version uint64, err error) {
-	if err := m.begin(ctx, t.keys()...); err != nil {
+	if err := m.injectFaults(ctx, t.keys()...); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.usage.Commits++
-	if err := m.check(t.Conditions); err != nil {
+	if err := m.checkConditions(t.Conditions); err != nil {
 		return 0, err
 	}
 	m.version++
@@ -166,7 +167,8 @@
 	return m.version, nil
 }
 
-func (m *Memory) check(conditions []Condition) error {
+// checkConditions returns a *ConflictError that names the conditions that do not hold, or nil; m.mu is held.
+func (m *Memory) checkConditions(conditions []Condition) error {
 	var failed []string
 	var present []Row
 	for _, c := range conditions {
@@ -193,7 +195,7 @@
 		m.keys[i] = row.Key
 	}
 	m.rows[row.Key] = row
-	m.record(Change{Row: row})
+	m.recordChange(Change{Row: row})
 }
 
 func (m *Memory) remove(key string) {
@@ -201,14 +203,14 @@
 		return
 	}
 	delete(m.rows, key)
-	m.record(Change{Row: Row{Key: key, Version: m.version}, Deleted: true})
+	m.recordChange(Change{Row: Row{Key: key, Version: m.version}, Deleted: true})
 	i := sort.SearchStrings(m.keys, key)
 	m.keys = append(m.keys[:i], m.keys[i+1:]...)
 }
 
-// PutObject stores an object.
+// PutObject stores a copy of data under the name.
 func (m *Memory) PutObject(ctx context.Context, name string, data []byte) (err error) {
-	if err := m.begin(ctx); err != nil {
+	if err := m.injectFaults(ctx); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -219,9 +221,9 @@
 	return nil
 }
 
-// Object returns an object.
+// Object returns an object, or a trace.NotFound error.
 func (m *Memory) Object(ctx context.Context, name string) (data []byte, err error) {
-	if err := m.begin(ctx); err != nil {
+	if err := m.injectFaults(ctx); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -234,9 +236,9 @@
 	return data, nil
 }
 
-// DeleteObject removes an object.
+// DeleteObject removes an object; removing an absent one is no error.
 func (m *Memory) DeleteObject(ctx context.Context, name string) (err error) {
-	if err := m.begin(ctx); err != nil {
+	if err := m.injectFaults(ctx); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -246,9 +248,9 @@
 	return nil
 }
 
-// VMs returns the list as it stood LagMs ago.
+// VMs returns the VM list as it was Fault.LagMs ago, or the first one if there was none yet.
 func (m *Memory) VMs(ctx context.Context) (vms []VM, err error) {
-	if err := m.begin(ctx); err != nil {
+	if err := m.injectFaults(ctx); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -263,5 +265,5 @@
 	return append([]VM(nil), vms...), nil
 }
 
-// String names the implementation.
+// String returns the name of the implementation, memory.
 func (m *Memory) String() string { return "memory" }
--- a/hgstore/memoryfeed.go
+++ b/hgstore/memoryfeed.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxHistory is the number of changes that a Memory store keeps for feeds.
+// maxHistory is the number of changes above which a Memory store discards the older half of its history.
 const maxHistory = 10_000
 
-// record keeps a change for feeds and wakes those that wait; m.mu is held.
-func (m *Memory) record(c Change) {
+// recordChange adds a change to the history and wakes the waiting calls of Changes; m.mu is held.
+func (m *Memory) recordChange(c Change) {
 	m.history = append(m.history, c)
 	if len(m.history) > maxHistory {
 		m.history = append([]Change(nil), m.history[maxHistory/2:]...)
@@ -19,7 +19,7 @@
 	m.changed = make(chan struct{})
 }
 
-// DropHistory forgets all changes, so that feeds have to start again from a list.
+// DropHistory discards all changes, so that watchers have to list their tables again.
 func (m *Memory) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,7 +29,7 @@
 	m.changed = make(chan struct{})
 }
 
-// List returns all rows with the prefix.
+// List returns all rows with the prefix, and the version of the store after they were read.
 func (m *Memory) List(ctx context.Context, prefix string) (rows []Row, version uint64, err error) {
 	rows, err = m.Scan(ctx, prefix, "", int(^uint(0)>>1))
 	m.mu.Lock()
@@ -37,15 +37,16 @@
 	return rows, m.version, err
 }
 
-// Changes waits for changes to a table, whose name is the keys' first part.
+// Changes returns the changes to a table after a version and waits for one if there is none yet. The name of the table is the part
+// of a key before the first slash.
 func (m *Memory) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (changes []Change, version uint64, err error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		if err := m.begin(ctx); err != nil {
+		if err := m.injectFaults(ctx); err != nil {
 			return nil, 0, err
 		}
-		changes, version, changed, ok := m.since(table, after)
+		changes, version, changed, ok := m.changesSince(table, after)
 		if !ok {
 			return nil, 0, ErrHistoryGone
 		}
@@ -62,7 +63,9 @@
 	}
 }
 
-func (m *Memory) since(table string, after uint64) (changes []Change, version uint64, changed chan struct{}, ok bool) {
+// changesSince returns the changes to a table after a version, and a channel that is closed at the next change of any table. ok is
+// false if the history no longer reaches back to the version.
+func (m *Memory) changesSince(table string, after uint64) (changes []Change, version uint64, changed chan struct{}, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	complete := after >= m.version || len(m.history) > 0 && m.history[0].Version <= after+1
--- a/hgstore/store.go
+++ b/hgstore/store.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Store is the platform: transactional rows, immutable objects and the list of VMs.
+// Store is the platform's storage: transactional rows, immutable objects and the list of VMs.
 type Store interface {
 	Table
 	Objects
-	// VMs returns the VM list, which lags behind the machines.
+	// VMs returns the VM list, which lags behind the real state of the machines.
 	VMs(ctx context.Context) (vms []VM, err error)
-	// String names the implementation.
+	// String returns the name of the implementation.
 	String() string
 }
 
@@ -23,14 +23,14 @@
 	Get(ctx context.Context, key string) (row Row, err error)
 	// Scan returns up to limit rows with the prefix, in key order, after the key `after`.
 	Scan(ctx context.Context, prefix, after string, limit int) (rows []Row, err error)
-	// Commit applies t whole or not at all and returns the version of the rows it wrote.
-	// A *ConflictError means not applied; after any other error the transaction may have been applied or may yet be.
+	// Commit applies all of t or nothing, and returns the version of the rows that it wrote. A *ConflictError means that t was not
+	// applied; after any other error it may have been applied or may still be.
 	Commit(ctx context.Context, t Txn) (version uint64, err error)
 }
 
 // Objects is the platform's object store.
 type Objects interface {
-	// PutObject stores an object under a name that is written only once.
+	// PutObject stores an object. Objects are immutable: a name is written only once.
 	PutObject(ctx context.Context, name string, data []byte) (err error)
 	// Object returns an object, or a trace.NotFound error.
 	Object(ctx context.Context, name string) (data []byte, err error)
@@ -38,33 +38,33 @@
 	DeleteObject(ctx context.Context, name string) (err error)
 }
 
-// Row is one versioned table row; versions are never reused.
+// Row is one row of a table. Its version changes with each write; versions are never reused.
 type Row struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// Condition demands that a row has a version; version 0 demands that it does not exist.
+// Condition requires that a row has the version; version 0 requires that the row does not exist.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Put writes one row.
+// Put is the write of one row in a transaction.
 type Put struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// Txn is one transaction.
+// Txn is a transaction: if all conditions hold, its puts and deletes are applied.
 type Txn struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Puts       []Put       `json:"puts,omitempty"`
 	Deletes    []string    `json:"deletes,omitempty"`
 }
 
-// keys returns the keys that the transaction names.
+// keys returns the keys of the transaction's conditions, puts and deletes.
 func (t Txn) keys() (keys []string) {
 	for _, c := range t.Conditions {
 		keys = append(keys, c.Key)
@@ -84,7 +84,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one line of the platform's list.
+// VM is one entry of the platform's VM list.
 type VM struct {
 	Address string  `json:"address"`
 	State   VMState `json:"state"`
@@ -93,16 +93,17 @@
 // ConflictError reports the conditions that failed; the transaction was not applied.
 type ConflictError struct {
 	Keys []string `json:"keys"`
-	// Rows are the present rows of the conditions, where the store tells them; absent rows are left out.
+	// Rows are the present rows of the conditions, if the store returns them. Rows that do not exist are left out.
 	Rows []Row `json:"rows,omitempty"`
 }
 
-// Error names the keys.
+// Error returns the keys of the failed conditions.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("condition failed on %s", strings.Join(e.Keys, ", "))
 }
 
-// IsConflict tells whether err means that a transaction was certainly not applied, and on which keys.
+// IsConflict returns the keys of the failed conditions if err wraps a *ConflictError, which means that the transaction was not
+// applied. For any other error ok is false.
 func IsConflict(err error) (keys []string, ok bool) {
 	var c *ConflictError
 	if !errors.As(err, &c) {
--- a/hgstore/within.go
+++ b/hgstore/within.go
@@ -8,28 +8,29 @@
 	"github.com/samber/lo"
 )
 
-// within is a store whose rows and objects all have names with a prefix in another one.
-type within struct {
+// prefixedStore is a view of the store inner that adds prefix to all keys and object names.
+type prefixedStore struct {
 	inner  Store
 	prefix string
 }
 
-// Within returns a store that keeps its rows and objects under a prefix of another one.
-func Within(inner Store, prefix string) Store { return within{inner: inner, prefix: prefix} }
+// Within returns a store whose rows and objects are those of inner under the prefix. The VM list is that of inner.
+func Within(inner Store, prefix string) Store { return prefixedStore{inner: inner, prefix: prefix} }
 
-func (s within) row(r Row) Row {
+// row returns the row with the prefix removed from its key.
+func (s prefixedStore) row(r Row) Row {
 	r.Key = strings.TrimPrefix(r.Key, s.prefix)
 	return r
 }
 
-// Get returns one row.
-func (s within) Get(ctx context.Context, key string) (row Row, err error) {
+// Get returns one row, or a trace.NotFound error that names the key with the prefix.
+func (s prefixedStore) Get(ctx context.Context, key string) (row Row, err error) {
 	row, err = s.inner.Get(ctx, s.prefix+key)
 	return s.row(row), err
 }
 
-// Scan returns rows in key order.
-func (s within) Scan(ctx context.Context, prefix, after string, limit int) (rows []Row, err error) {
+// Scan returns up to limit rows with the prefix, in key order, after the key `after`.
+func (s prefixedStore) Scan(ctx context.Context, prefix, after string, limit int) (rows []Row, err error) {
 	if after != "" {
 		after = s.prefix + after
 	}
@@ -37,8 +38,8 @@
 	return lo.Map(rows, func(r Row, _ int) Row { return s.row(r) }), err
 }
 
-// Commit applies a transaction.
-func (s within) Commit(ctx context.Context, t Txn) (version uint64, err error) {
+// Commit applies a transaction; the keys in a *ConflictError are without the prefix.
+func (s prefixedStore) Commit(ctx context.Context, t Txn) (version uint64, err error) {
 	version, err = s.inner.Commit(ctx, Txn{
 		Conditions: lo.Map(t.Conditions, func(c Condition, _ int) Condition { return Condition{Key: s.prefix + c.Key, Version: c.Version} }),
 		Puts:       lo.Map(t.Puts, func(p Put, _ int) Put { return Put{Key: s.prefix + p.Key, Value: p.Value} }),
@@ -54,23 +55,23 @@
 	return version, err
 }
 
-// PutObject stores an object.
-func (s within) PutObject(ctx context.Context, name string, data []byte) (err error) {
+// PutObject stores an object under the prefixed name.
+func (s prefixedStore) PutObject(ctx context.Context, name string, data []byte) (err error) {
 	return s.inner.PutObject(ctx, s.prefix+name, data)
 }
 
-// Object returns an object.
-func (s within) Object(ctx context.Context, name string) (data []byte, err error) {
+// Object returns the object with the prefixed name, or a trace.NotFound error.
+func (s prefixedStore) Object(ctx context.Context, name string) (data []byte, err error) {
 	return s.inner.Object(ctx, s.prefix+name)
 }
 
-// DeleteObject removes an object.
-func (s within) DeleteObject(ctx context.Context, name string) (err error) {
+// DeleteObject removes the object with the prefixed name.
+func (s prefixedStore) DeleteObject(ctx context.Context, name string) (err error) {
 	return s.inner.DeleteObject(ctx, s.prefix+name)
 }
 
-// VMs returns the VM list, which has no prefix.
-func (s within) VMs(ctx context.Context) (vms []VM, err error) { return s.inner.VMs(ctx) }
+// VMs returns the VM list of the inner store.
+func (s prefixedStore) VMs(ctx context.Context) (vms []VM, err error) { return s.inner.VMs(ctx) }
 
-// String names the implementation.
-func (s within) String() string { return s.inner.String() + " under " + s.prefix }
+// String returns the name of the inner store and the prefix.
+func (s prefixedStore) String() string { return s.inner.String() + " under " + s.prefix }
