--- a/hgcall/call.go
+++ b/hgcall/call.go
@@ -233,7 +233,7 @@
 	// InputTokens and OutputTokens are the tokens that the call added to its program's context.
 	InputTokens  uint64 `json:"inputTokens"`
 	OutputTokens uint64 `json:"outputTokens"`
-	// Reason is why the call has no answer; it is empty for a call that is done.
+	// Reason is why the call is not done; it is empty for a call that is.
 	Reason Reason `json:"reason,omitempty"`
 }
 
