--- a/internal/serve/hgcaller/client.go
+++ b/internal/serve/hgcaller/client.go
@@ -19,53 +19,56 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-// Client calls a system; it is safe for concurrent use.
+// Client sends calls and operators' requests to the nodes of a cell; it is safe for concurrent use.
 type Client struct {
 	nodes []string
 	http  *http.Client
-	// key is the operators' key, if any.
+	// key is the operators' key, or empty.
 	key string
 
-	mu    sync.Mutex
-	known map[string]located
+	mu sync.Mutex
+	// locations caches the answers of /v1/locate by root program.
+	locations map[string]location
 }
 
-type located struct {
+// location is a cached answer of /v1/locate.
+type location struct {
 	addresses []string
-	until     time.Time
+	expires   time.Time
 }
 
-// NewClient returns a client that knows some nodes' public addresses.
+// NewClient returns a client for callers. It needs the public address of at least one node; more let it locate programs
+// while some nodes are down.
 func NewClient(nodes ...string) *Client {
 	return &Client{
-		nodes: nodes, known: map[string]located{},
+		nodes: nodes, locations: map[string]location{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
 	}
 }
 
-// NewOperator returns a client that presents the operators' key to some nodes.
+// NewOperator returns a client that sends the operators' key with all requests but calls.
 func NewOperator(key string, nodes ...string) *Client {
 	c := NewClient(nodes...)
 	c.key = key
 	return c
 }
 
-// Close closes idle connections.
+// Close closes idle connections; calls in progress are not affected.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Answer is the whole answer to a call.
+// Answer is the complete answer to a call.
 type Answer struct {
 	State hgcall.State
 	Body  []byte
-	// Tries is the number of times that the call was sent.
+	// Tries is the number of attempts to send the call.
 	Tries int
 }
 
-// retryPause is the wait after a connection that failed.
-const retryPause = 100 * time.Millisecond
+// retryDelay is the time before a retry after a connection failed.
+const retryDelay = 100 * time.Millisecond
 
-// Call sends a call until it has a final answer or its deadline passes. The error is a *hgcall.Refusal;
-// when the deadline passes without a final answer it is of kind unknown.
+// Call sends a call, and retries it under the same identifier, until it gets a final answer or the call's deadline passes. The
+// error is a *hgcall.Refusal; its kind is unknown if the deadline passed without a final answer.
 func (c *Client) Call(ctx context.Context, call hgcall.Call) (a Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Deadline)
 	defer cancel()
@@ -73,8 +76,8 @@
 	for try := 0; ; try++ {
 		a, err = c.send(ctx, c.address(ctx, call.Program, try), call.WithDeadline(time.Until(deadline)))
 		a.Tries = try + 1
-		wait, again := askAgain(err)
-		if !again {
+		wait, retry := shouldRetry(err)
+		if !retry {
 			return a, err
 		}
 		select {
@@ -85,14 +88,15 @@
 	}
 }
 
-// askAgain tells whether the same request should be sent again, and when.
-func askAgain(err error) (wait time.Duration, again bool) {
+// shouldRetry reports whether the same request should be sent again, and after which delay. An error other than a refusal
+// leaves the outcome open.
+func shouldRetry(err error) (wait time.Duration, retry bool) {
 	if err == nil {
 		return 0, false
 	}
 	r, ok := err.(*hgcall.Refusal)
 	if !ok {
-		return retryPause, true
+		return retryDelay, true
 	}
 	switch r.Kind {
 	case hgcall.KindRunning, hgcall.KindUnavailable:
@@ -101,50 +105,52 @@
 	return 0, false
 }
 
-// address returns the address to use for a program; later tries go through the others.
+// address returns the address for an attempt: the best one for the first, the others in turn for retries. The program is
+// located again when the cached addresses have expired or all of them were tried.
 func (c *Client) address(ctx context.Context, program string, try int) string {
 	root := hgcall.Root(program)
 	c.mu.Lock()
-	l, ok := c.known[root]
+	l, ok := c.locations[root]
 	c.mu.Unlock()
-	if !ok || time.Now().After(l.until) || try > 0 && try%len(l.addresses) == 0 {
+	if !ok || time.Now().After(l.expires) || try > 0 && try%len(l.addresses) == 0 {
 		l = c.locate(ctx, root)
 	}
 	return l.addresses[try%len(l.addresses)]
 }
 
-// locate asks the known nodes, one after the other, for the addresses to use.
-func (c *Client) locate(ctx context.Context, root string) located {
-	l := located{addresses: c.nodes}
+// locate asks the client's nodes, one after the other, for the addresses to use. If none answers it returns the nodes
+// themselves, as a location that has already expired.
+func (c *Client) locate(ctx context.Context, root string) location {
+	l := location{addresses: c.nodes}
 	for _, node := range c.nodes {
 		var loc hgfront.Location
 		err := c.Get(ctx, node, "/v1/locate?program="+url.QueryEscape(root), &loc)
 		if err == nil && len(loc.Addresses) > 0 {
-			l = located{addresses: loc.Addresses, until: time.Now().Add(time.Duration(loc.TTLMs) * time.Millisecond)}
+			l = location{addresses: loc.Addresses, expires: time.Now().Add(time.Duration(loc.TTLMs) * time.Millisecond)}
 			break
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known[root] = l
+	c.locations[root] = l
 	return l
 }
 
-// Forget drops what is known of a program's addresses.
+// Forget removes the cached addresses of a program, so that its next call locates it again.
 func (c *Client) Forget(program string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.known, hgcall.Root(program))
+	delete(c.locations, hgcall.Root(program))
 }
 
-// Get reads a JSON document from a node.
+// Get reads a JSON document from a node within getTimeout.
 func (c *Client) Get(ctx context.Context, node, path string, v any) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, getTimeout)
 	defer cancel()
 	return c.exchange(ctx, http.MethodGet, node, path, nil, v)
 }
 
-// Post sends a JSON document to a node and reads one.
+// Post sends a JSON document to a node and decodes the one in the response into v.
 func (c *Client) Post(ctx context.Context, node, path string, body, v any) (err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -153,9 +159,10 @@
 	return c.exchange(ctx, http.MethodPost, node, path, data, v)
 }
 
-// getTimeout bounds the reading of a document.
+// getTimeout bounds a GET request for a JSON document.
 const getTimeout = 2 * time.Second
 
+// exchange sends one HTTP request with the operators' key, if there is one, and decodes the JSON response into v.
 func (c *Client) exchange(ctx context.Context, method, node, path string, data []byte, v any) (err error) {
 	defer func() { err = trace.Wrap(err, "%s %s%s", method, node, path) }()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(data))
@@ -181,7 +188,8 @@
 	return json.Unmarshal(body, v)
 }
 
-// statusError returns the refusal in an error's body, or an error with the status.
+// statusError returns the refusal in the body of an error response, a trace.CompareFailed error for a 409 without one, or an
+// error with the status.
 func statusError(status int, body []byte) error {
 	var e hgfront.ErrorBody
 	if json.Unmarshal(body, &e) == nil && e.Error.Type != "" {
@@ -193,24 +201,25 @@
 	return trace.BadParameter("status %d: %s", status, body)
 }
 
+// refusal is the inverse of the encoding of refusals in hgfront.
 func refusal(d hgfront.ErrorDetail) *hgcall.Refusal {
 	return &hgcall.Refusal{
 		Kind: d.Type, Reason: d.Code, Field: d.Param, Detail: d.Message, RetryAfter: time.Duration(d.RetryAfterMs) * time.Millisecond,
 	}
 }
 
-// End ends a program; an end that failed is asked for again until ctx ends.
+// End ends a program. A failed attempt is retried until ctx ends, unless its refusal is final.
 func (c *Client) End(ctx context.Context, program string) (err error) {
 	for try := 0; ; try++ {
 		err = c.Post(ctx, c.address(ctx, program, try), "/v1/programs/end", map[string]string{"program": program}, &hgfront.Ended{})
-		wait, again := askAgain(err)
-		if !again {
+		wait, retry := shouldRetry(err)
+		if !retry {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(max(wait, retryPause)):
+		case <-time.After(max(wait, retryDelay)):
 		}
 	}
 }
@@ -231,24 +240,24 @@
 	return h
 }
 
-// maxSilence is the time without a byte after which a node counts as gone; asking another one is safe,
-// as copies of a request carry its identifier.
-const maxSilence = 4 * time.Second
+// idleTimeout is the time without a byte from a node after which its connection counts as failed. A retry at another node is
+// safe, as it carries the same request identifier.
+const idleTimeout = 4 * time.Second
 
-// watched puts the end of a silent connection off with each read.
-type watched struct {
+// idleTimeoutBody is a response body that restarts the idle timeout of its connection with each read.
+type idleTimeoutBody struct {
 	io.ReadCloser
-	silent *time.Timer
+	timer *time.Timer
 }
 
-// Read reads and restarts the time of silence.
-func (w *watched) Read(p []byte) (n int, err error) {
+// Read reads from the body and restarts the idle timeout.
+func (w *idleTimeoutBody) Read(p []byte) (n int, err error) {
 	n, err = w.ReadCloser.Read(p)
-	w.silent.Reset(maxSilence)
+	w.timer.Reset(idleTimeout)
 	return n, err
 }
 
-// send sends a call once; an error other than a *hgcall.Refusal says nothing about what became of it.
+// send sends a call once; after an error other than a *hgcall.Refusal the outcome of the call is not known.
 func (c *Client) send(ctx context.Context, address string, call hgcall.Call) (a Answer, err error) {
 	path, body := "/v1/tools/"+call.Target, call.Body
 	if call.Kind == hgcall.Model {
@@ -265,21 +274,22 @@
 		return a, err
 	}
 	r.Header = headers(call)
-	silent := time.AfterFunc(maxSilence, cancel)
-	defer silent.Stop()
+	timer := time.AfterFunc(idleTimeout, cancel)
+	defer timer.Stop()
 	w, err := c.http.Do(r)
 	if err != nil {
 		return a, err
 	}
 	defer w.Body.Close()
-	w.Body = &watched{ReadCloser: w.Body, silent: silent}
+	w.Body = &idleTimeoutBody{ReadCloser: w.Body, timer: timer}
 	if w.Header.Get("Content-Type") == "text/event-stream" {
 		return readStream(w.Body, call)
 	}
-	return readWhole(w, call)
+	return readAnswer(w, call)
 }
 
-func readWhole(w *http.Response, call hgcall.Call) (a Answer, err error) {
+// readAnswer reads an answer that is not streamed and checks it against its digest.
+func readAnswer(w *http.Response, call hgcall.Call) (a Answer, err error) {
 	data, err := io.ReadAll(w.Body)
 	if err != nil {
 		return a, err
@@ -290,7 +300,7 @@
 	}
 	r := hgcall.Result{Answer: data}
 	if got := w.Header.Get("Hg-Digest"); got != r.Digest() {
-		return a, fmt.Errorf("answer to request %q has digest %s instead of %s", call.Request, r.Digest(), got)
+		return a, fmt.Errorf("answer to request %q has digest %s, want %s", call.Request, r.Digest(), got)
 	}
 	return Answer{State: state, Body: data}, nil
 }
--- a/internal/serve/hgcaller/stream.go
+++ b/internal/serve/hgcaller/stream.go
@@ -11,7 +11,7 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-// maxLineBytes bounds one event of a stream.
+// maxLineBytes is the maximum size of one event of a stream.
 const maxLineBytes = 16 << 20
 
 type chunk struct {
@@ -21,11 +21,12 @@
 			Content string `json:"content"`
 		} `json:"delta"`
 	} `json:"choices"`
-	Hyssopgrade *hgfront.Ending      `json:"hyssopgrade"`
-	Error       *hgfront.ErrorDetail `json:"error"`
+	Hyssopgrade *hgfront.AnswerSummary `json:"hyssopgrade"`
+	Error       *hgfront.ErrorDetail   `json:"error"`
 }
 
-// readStream reads a streamed answer; only one whose closing event fits its text is returned.
+// readStream reads a streamed answer. It returns an error unless the stream has a closing event whose length and digest match
+// the text.
 func readStream(body io.Reader, call hgcall.Call) (a Answer, err error) {
 	var text strings.Builder
 	sc := bufio.NewScanner(body)
@@ -43,23 +44,23 @@
 			return a, refusal(*ch.Error)
 		}
 		if ch.ID != call.Request {
-			return a, fmt.Errorf("event of request %q in the answer to %q", ch.ID, call.Request)
+			return a, fmt.Errorf("event of request %q in the stream for request %q", ch.ID, call.Request)
 		}
 		for _, c := range ch.Choices {
 			text.WriteString(c.Delta.Content)
 		}
 		if ch.Hyssopgrade != nil {
-			return whole(text.String(), ch.Hyssopgrade)
+			return verify(text.String(), ch.Hyssopgrade)
 		}
 	}
-	return a, fmt.Errorf("answer to request %q was cut after %d bytes: %v", call.Request, text.Len(), sc.Err())
+	return a, fmt.Errorf("answer to request %q truncated after %d bytes: %v", call.Request, text.Len(), sc.Err())
 }
 
-// whole checks a text against its closing event.
-func whole(text string, e *hgfront.Ending) (a Answer, err error) {
+// verify returns a streamed text as an Answer if it matches the length and digest in its closing event.
+func verify(text string, e *hgfront.AnswerSummary) (a Answer, err error) {
 	r := hgcall.Result{Answer: []byte(text)}
 	if e.Length != len(text) || e.Digest != r.Digest() {
-		return a, fmt.Errorf("answer has %d bytes and digest %s, its end says %d and %s", len(text), r.Digest(), e.Length, e.Digest)
+		return a, fmt.Errorf("answer has %d bytes and digest %s, its closing event has %d and %s", len(text), r.Digest(), e.Length, e.Digest)
 	}
 	return Answer{State: e.State, Body: r.Answer}, nil
 }
--- a/internal/serve/hgfront/call.go
+++ b/internal/serve/hgfront/call.go
@@ -13,10 +13,10 @@
 	"hyssopgrade/hgcall"
 )
 
-// defaultDeadline bounds a call that sets no deadline.
+// defaultDeadline is the deadline of a call without the header Hg-Deadline-Ms.
 const defaultDeadline = 2 * time.Minute
 
-// CallHeaders are the headers of a call.
+// CallHeaders are the request headers that model calls and tool calls have in common.
 type CallHeaders struct {
 	Program    string `header:"Hg-Program" doc:"Program identifier; a sub-agent's is its parent's, a slash and a name. Without it the call is a program of its own."`
 	Parent     string `header:"Hg-Parent" doc:"Identifier of the parent program; checked against Hg-Program."`
@@ -26,7 +26,8 @@
 	DeadlineMs int64  `header:"Hg-Deadline-Ms" doc:"Time left for the call, in milliseconds."`
 }
 
-// call returns the call that the headers describe, or an invalid refusal.
+// call returns the call that the headers describe, or a refusal of the kind invalid. A call without a program becomes the
+// only call of a new one.
 func (h CallHeaders) call() (c hgcall.Call, err error) {
 	c = hgcall.Call{Program: h.Program, Seq: h.Seq, Request: h.Request, Budget: h.Budget, Deadline: defaultDeadline}
 	if h.DeadlineMs != 0 {
@@ -70,7 +71,7 @@
 	RawBody    []byte
 }
 
-func (f *Front) addCalls(api huma.API) {
+func (f *Front) addCallRoutes(api huma.API) {
 	huma.Register(api, huma.Operation{
 		OperationID: "chat", Method: http.MethodPost, Path: "/v1/chat/completions", MaxBodyBytes: f.opts.MaxBody,
 		Summary: "Call a model", Description: "Chat completions in the OpenAI form, also streamed.",
@@ -82,19 +83,21 @@
 }
 
 func (f *Front) chat(ctx context.Context, in *chatInput) (out *huma.StreamResponse, err error) {
-	c, bad := in.call()
+	c, invalid := in.call()
 	c.Kind, c.Target, c.Messages = hgcall.Model, in.Body.Model, in.Body.Messages
 	c.MaxTokens = max(in.Body.MaxTokens, in.Body.MaxCompletionTokens)
 	return &huma.StreamResponse{Body: func(hctx huma.Context) {
 		w := newChatWriter(hctx, c, in.Body.Stream)
-		if bad != nil {
-			f.refuse(hctx, bad)
+		if invalid != nil {
+			f.refuse(hctx, invalid)
 			return
 		}
 		f.serveChat(ctx, hctx, c, w)
 	}}, nil
 }
 
+// serveChat runs a model call and writes its answer. Once a stream has started the status line is sent, so that a later
+// failure is reported as an event of the stream.
 func (f *Front) serveChat(ctx context.Context, hctx huma.Context, c hgcall.Call, w *chatWriter) {
 	var r hgcall.Result
 	var err error
@@ -104,7 +107,7 @@
 		r, err = f.backend.Serve(ctx, c, nil)
 	}
 	if err == nil && r.State != hgcall.Done {
-		err = failure(r)
+		err = failedWithoutAnswer(r)
 	}
 	switch {
 	case err != nil && !w.started:
@@ -117,54 +120,55 @@
 	}
 }
 
-// failure turns a failed call without an answer into the error that its caller gets.
-func failure(r hgcall.Result) *hgcall.Refusal {
+// failedWithoutAnswer returns the refusal for a call that was run and failed without an answer for its caller.
+func failedWithoutAnswer(r hgcall.Result) *hgcall.Refusal {
 	return hgcall.NewRefusal(hgcall.KindUnknown, r.Reason, 0, "the call was run and failed; it will not run again under this identifier")
 }
 
 func (f *Front) tool(ctx context.Context, in *toolInput) (out *huma.StreamResponse, err error) {
-	c, bad := in.call()
+	c, invalid := in.call()
 	c.Kind, c.Target, c.Body, c.Idempotent = hgcall.Tool, in.Service+"/"+in.Operation, in.RawBody, in.Idempotent
 	return &huma.StreamResponse{Body: func(hctx huma.Context) {
-		if bad != nil {
-			f.refuse(hctx, bad)
+		if invalid != nil {
+			f.refuse(hctx, invalid)
 			return
 		}
 		r, err := f.backend.Serve(ctx, c, nil)
 		if err == nil && r.Status == 0 {
-			err = failure(r)
+			err = failedWithoutAnswer(r)
 		}
 		if err != nil {
 			f.refuse(hctx, err)
 			return
 		}
 		hctx.SetHeader("Content-Type", "application/json")
-		setResult(hctx, r)
+		setResultHeaders(hctx, r)
 		hctx.SetStatus(r.Status)
 		_, _ = hctx.BodyWriter().Write(r.Answer)
 	}}, nil
 }
 
-func setResult(hctx huma.Context, r hgcall.Result) {
+// setResultHeaders sets the state, the length and the digest by which the caller can check that the answer is complete.
+func setResultHeaders(hctx huma.Context, r hgcall.Result) {
 	hctx.SetHeader("Hg-State", string(r.State))
 	hctx.SetHeader("Hg-Length", strconv.Itoa(len(r.Answer)))
 	hctx.SetHeader("Hg-Digest", r.Digest())
 	hctx.SetHeader("Content-Length", strconv.Itoa(len(r.Answer)))
 }
 
-// ErrorBody is the body of a refusal, in the OpenAI form.
+// ErrorBody is the JSON body of a refusal, in the OpenAI form.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes a refusal.
+// ErrorDetail is the content of an ErrorBody; hgcaller turns it back into a *hgcall.Refusal.
 type ErrorDetail struct {
-	// Type is the refusal's kind, Code its reason, Param the bad field.
+	// Type is the refusal's kind, Code its reason, Param the invalid field.
 	Type    hgcall.RefusalKind `json:"type"`
 	Code    hgcall.Reason      `json:"code"`
 	Param   string             `json:"param,omitempty"`
 	Message string             `json:"message"`
-	// RetryAfterMs is when to come back, in milliseconds; 0 means never with this request.
+	// RetryAfterMs is the time before a retry, in milliseconds; 0 means that this request must not be retried.
 	RetryAfterMs int64 `json:"retryAfterMs"`
 }
 
@@ -174,7 +178,7 @@
 	}}
 }
 
-// refuse answers with a refusal.
+// refuse counts a refusal and writes it as the response. Retry-After is in whole seconds, rounded up.
 func (f *Front) refuse(hctx huma.Context, err error) {
 	r := hgcall.AsRefusal(err)
 	f.backend.Refused(r)
--- a/internal/serve/hgfront/chat.go
+++ b/internal/serve/hgfront/chat.go
@@ -12,13 +12,15 @@
 	"hyssopgrade/hgcall"
 )
 
-// chatWriter writes a chat answer, streamed or whole.
+// chatWriter writes the answer to a model call, as a stream of events or as one JSON document. It implements hgowner.Sink.
 type chatWriter struct {
-	hctx    huma.Context
-	ctl     *http.ResponseController
-	c       hgcall.Call
-	stream  bool
+	hctx   huma.Context
+	ctl    *http.ResponseController
+	c      hgcall.Call
+	stream bool
+	// started reports that the status and headers of a stream were sent.
 	started bool
+	// created is in Unix seconds.
 	created int64
 }
 
@@ -45,8 +47,8 @@
 	TotalTokens      uint64 `json:"total_tokens"`
 }
 
-// Ending says that an answer is whole and durable.
-type Ending struct {
+// AnswerSummary closes an answer that is complete and stored durably; the caller checks the text against Length and Digest.
+type AnswerSummary struct {
 	State   hgcall.State `json:"state"`
 	Program string       `json:"program"`
 	Seq     uint64       `json:"seq"`
@@ -55,24 +57,25 @@
 }
 
 type chatAnswer struct {
-	ID          string       `json:"id"`
-	Object      string       `json:"object"`
-	Created     int64        `json:"created"`
-	Model       string       `json:"model"`
-	Choices     []chatChoice `json:"choices"`
-	Usage       *chatUsage   `json:"usage,omitempty"`
-	Hyssopgrade *Ending      `json:"hyssopgrade,omitempty"`
+	ID          string         `json:"id"`
+	Object      string         `json:"object"`
+	Created     int64          `json:"created"`
+	Model       string         `json:"model"`
+	Choices     []chatChoice   `json:"choices"`
+	Usage       *chatUsage     `json:"usage,omitempty"`
+	Hyssopgrade *AnswerSummary `json:"hyssopgrade,omitempty"`
 }
 
 func (w *chatWriter) answer(object string, choice chatChoice) chatAnswer {
 	return chatAnswer{ID: w.c.Request, Object: object, Created: w.created, Model: w.c.Target, Choices: []chatChoice{choice}}
 }
 
-// Piece sends one piece of a streamed answer.
+// Piece sends generated text as one event of a streamed answer.
 func (w *chatWriter) Piece(text string) (err error) {
 	return w.event(w.answer("chat.completion.chunk", chatChoice{Delta: &chatMessage{Role: "assistant", Content: text}}))
 }
 
+// event writes v as one server-sent event and flushes it; the first event sends the status and headers before.
 func (w *chatWriter) event(v any) (err error) {
 	if !w.started {
 		w.started = true
@@ -90,17 +93,17 @@
 	return w.ctl.Flush()
 }
 
-// fail ends a streamed answer that is not whole.
+// fail ends a streamed answer that is incomplete with an event that holds the refusal.
 func (w *chatWriter) fail(r *hgcall.Refusal) {
 	_ = w.event(errorBody(r))
 }
 
-// finish ends an answer that is whole and durable.
+// finish writes the end of an answer that is complete and stored durably; without streaming this is the whole answer.
 func (w *chatWriter) finish(r hgcall.Result) {
 	stop := "stop"
 	a := w.answer("chat.completion.chunk", chatChoice{Delta: &chatMessage{}, FinishReason: &stop})
 	a.Usage = &chatUsage{PromptTokens: r.InputTokens, CompletionTokens: r.OutputTokens, TotalTokens: r.InputTokens + r.OutputTokens}
-	a.Hyssopgrade = &Ending{State: r.State, Program: w.c.Program, Seq: w.c.Seq, Length: len(r.Answer), Digest: r.Digest()}
+	a.Hyssopgrade = &AnswerSummary{State: r.State, Program: w.c.Program, Seq: w.c.Seq, Length: len(r.Answer), Digest: r.Digest()}
 	if w.stream {
 		w.finishStream(a, r)
 		return
@@ -113,6 +116,8 @@
 	_ = json.NewEncoder(w.hctx.BodyWriter()).Encode(a)
 }
 
+// finishStream writes the closing event and [DONE]. A result that was never streamed, such as one of an earlier copy of the
+// request, is sent before them as one event.
 func (w *chatWriter) finishStream(a chatAnswer, r hgcall.Result) {
 	if !w.started {
 		if w.Piece(string(r.Answer)) != nil {
--- a/internal/serve/hgfront/doc.go
+++ b/internal/serve/hgfront/doc.go
@@ -1,2 +1,2 @@
-// Package hgfront serves callers and operators over HTTP; its OpenAPI page is at /docs.
+// Package hgfront is the HTTP API of a node, for callers and for operators. Its OpenAPI page is at /docs.
 package hgfront
--- a/internal/serve/hgfront/front.go
+++ b/internal/serve/hgfront/front.go
@@ -18,9 +18,10 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// Backend is the node behind the front.
+// Backend is the node that a Front serves.
 type Backend interface {
-	// Serve runs a call wherever its shard is owned; the error is a *hgcall.Refusal.
+	// Serve runs a call on the node that owns its shard and streams generated text to out unless that is nil; the error is a
+	// *hgcall.Refusal.
 	Serve(ctx context.Context, c hgcall.Call, out hgowner.Sink) (r hgcall.Result, err error)
 	// End ends a program; the error is a *hgcall.Refusal.
 	End(ctx context.Context, program string) (err error)
@@ -28,31 +29,31 @@
 	Status(ctx context.Context, program string) (s hgowner.ProgramStatus, err error)
 	// History returns a program's conversation; the error is a *hgcall.Refusal.
 	History(ctx context.Context, program string) (ms []hgcall.Message, err error)
-	// Locate names the addresses to use for a program, best first.
+	// Locate returns the public addresses to use for a program, the best one first.
 	Locate(program string) Location
-	// Overview describes the node and its cell.
+	// Overview returns the state of the node and its view of the cell.
 	Overview() Overview
-	// Presets describes the presets and which is in force.
+	// Presets returns the names of the presets, the one in force and the version that each node applies.
 	Presets(ctx context.Context) PresetStatus
 	// CreatePreset stores a preset; the error is a *hgcall.Refusal.
 	CreatePreset(ctx context.Context, p hgpreset.Preset) (err error)
 	// UsePreset puts a preset in force; the error is a *PresetConflict or a *hgcall.Refusal.
 	UsePreset(ctx context.Context, name, by string) (v hgpreset.Version, err error)
-	// Ready returns why the node takes no new work, or nil.
+	// Ready returns the reason for which the node takes no new work, or nil.
 	Ready() (err error)
-	// Refused counts a refusal.
+	// Refused counts a refusal in the metrics.
 	Refused(r *hgcall.Refusal)
 }
 
-// Location is an answer to locate.
+// Location is the answer of /v1/locate.
 type Location struct {
-	// Addresses are public addresses, best first.
+	// Addresses are public addresses of nodes, the best one first.
 	Addresses []string `json:"addresses"`
-	// TTLMs is how long the answer may be used, in milliseconds.
+	// TTLMs is the time for which the answer may be cached, in milliseconds.
 	TTLMs int64 `json:"ttlMs"`
 }
 
-// MemberStatus describes one node of the cell.
+// MemberStatus is what a node knows of one member of its cell.
 type MemberStatus struct {
 	ID            string `json:"id"`
 	Domain        string `json:"domain"`
@@ -62,7 +63,7 @@
 	PresetVersion uint64 `json:"presetVersion"`
 }
 
-// Overview describes a node and its cell.
+// Overview is the answer of /v1/status: the state of a node and its view of the cell.
 type Overview struct {
 	Node        string                 `json:"node"`
 	Run         string                 `json:"run"`
@@ -77,69 +78,70 @@
 	Programs    []hgprogram.Summary    `json:"programs"`
 }
 
-// PresetStatus describes the presets.
+// PresetStatus is the answer of GET /v1/presets.
 type PresetStatus struct {
 	Names   []string         `json:"names"`
 	Current hgpreset.Version `json:"current"`
-	// Confirmed is the time since the current version was last known to be the newest.
+	// Confirmed is the time since the node last confirmed that the current version is the newest.
 	Confirmed time.Duration  `json:"confirmedAgo"`
 	Members   []MemberStatus `json:"members"`
 }
 
-// PresetConflict tells who won a race.
+// PresetConflict is the error of an operator whose choice of a preset lost against a concurrent one.
 type PresetConflict struct {
 	Current hgpreset.Version `json:"current"`
 }
 
-// Error names the winner.
+// Error returns the preset that was put in force instead, and who chose it.
 func (e *PresetConflict) Error() string {
 	return "preset " + e.Current.Preset.Name + " was put in force by " + e.Current.By + " at the same time"
 }
 
-// Options set up a Front.
+// Options are the options of NewFront.
 type Options struct {
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody int64
-	// Metrics serves the figures.
+	// Metrics serves GET /metrics.
 	Metrics http.Handler
-	// Version is the program's version.
+	// Version is the release of hyssopgrade, shown in the OpenAPI page.
 	Version string
-	// OperatorKey is the key that operators' routes ask for; with an empty one they are open.
+	// OperatorKey is the bearer key that operators' routes require; if it is empty these routes are open.
 	OperatorKey string
 }
 
-// Front is the HTTP front of a node.
+// Front is the handler of a node's public port.
 type Front struct {
 	backend Backend
 	opts    Options
 	mux     *http.ServeMux
 }
 
-// NewFront returns the handler of a node's public port.
+// NewFront returns a Front with the routes of callers and operators, probes, metrics and the OpenAPI page.
 func NewFront(b Backend, opts Options) *Front {
 	f := &Front{backend: b, opts: opts, mux: http.NewServeMux()}
 	api := humago.New(f.mux, huma.DefaultConfig("hyssopgrade", opts.Version))
-	f.addCalls(api)
-	f.addPrograms(api)
+	f.addCallRoutes(api)
+	f.addProgramRoutes(api)
 	operators := huma.NewGroup(api)
 	if opts.OperatorKey != "" {
-		operators.UseMiddleware(f.askForKey(hgkey.NewKey(opts.OperatorKey)))
+		operators.UseMiddleware(f.requireKey(hgkey.NewKey(opts.OperatorKey)))
 	}
-	f.addOperations(operators)
+	f.addOperatorRoutes(operators)
 	f.addProbes()
 	f.mux.Handle("GET /metrics", opts.Metrics)
 	return f
 }
 
-// ServeHTTP serves one request; one that is too large is refused before it is read, and its connection closed.
+// ServeHTTP serves one request. If its Content-Length is larger than MaxBody it is refused unread and its connection is
+// closed; a body of unknown length fails when it is read beyond MaxBody.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength > f.opts.MaxBody {
-		bad := hgcall.Invalid("body", "%d bytes are too large, the limit is %d", r.ContentLength, f.opts.MaxBody)
-		f.backend.Refused(bad)
+		refusal := hgcall.Invalid("body", "%d bytes are too large, the limit is %d", r.ContentLength, f.opts.MaxBody)
+		f.backend.Refused(refusal)
 		w.Header().Set("Connection", "close")
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
-		_ = json.NewEncoder(w).Encode(errorBody(bad))
+		_ = json.NewEncoder(w).Encode(errorBody(refusal))
 		return
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, f.opts.MaxBody)
--- a/internal/serve/hgfront/operation.go
+++ b/internal/serve/hgfront/operation.go
@@ -14,6 +14,7 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
+// body is a huma response with the JSON body T.
 type body[T any] struct{ Body T }
 
 type programInput struct {
@@ -37,19 +38,19 @@
 	}
 }
 
-// Ended is the answer to the end of a program.
+// Ended is the answer of /v1/programs/end.
 type Ended struct {
 	Program string `json:"program"`
 	Ended   bool   `json:"ended"`
 }
 
-// History is a program's conversation.
+// History is the answer of /v1/programs/history: all messages of a program's conversation.
 type History struct {
 	Program  string           `json:"program"`
 	Messages []hgcall.Message `json:"messages"`
 }
 
-// statusError is a huma error with the refusal's body.
+// statusError is a refusal as a huma.StatusError, so that huma writes it with the same body as the routes of calls.
 type statusError struct {
 	ErrorBody
 	status int
@@ -58,10 +59,11 @@
 // Error returns the refusal's message.
 func (e *statusError) Error() string { return e.ErrorBody.Error.Message }
 
-// GetStatus returns the HTTP status.
+// GetStatus returns the HTTP status of the response.
 func (e *statusError) GetStatus() int { return e.status }
 
-func asStatus(err error) error {
+// asStatusError returns err as a *statusError, or nil if err is nil.
+func asStatusError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -69,48 +71,49 @@
 	return &statusError{ErrorBody: errorBody(r), status: r.Status()}
 }
 
-func (f *Front) addPrograms(api huma.API) {
+// addProgramRoutes adds the routes by which callers end and locate programs.
+func (f *Front) addProgramRoutes(api huma.API) {
 	huma.Post(api, "/v1/programs/end", func(ctx context.Context, in *endInput) (*body[Ended], error) {
 		if err := f.backend.End(ctx, in.Body.Program); err != nil {
-			return nil, asStatus(err)
+			return nil, asStatusError(err)
 		}
 		return &body[Ended]{Body: Ended{Program: in.Body.Program, Ended: true}}, nil
 	})
 	huma.Get(api, "/v1/locate", func(_ context.Context, in *locateInput) (*body[Location], error) {
 		if in.Program != "" {
 			if err := hgcall.CheckProgram(in.Program); err != nil {
-				return nil, asStatus(err)
+				return nil, asStatusError(err)
 			}
 		}
 		return &body[Location]{Body: f.backend.Locate(in.Program)}, nil
 	})
 }
 
-// askForKey refuses requests without the operators' key.
-func (f *Front) askForKey(key hgkey.Key) func(hctx huma.Context, next func(huma.Context)) {
+// requireKey returns a middleware that answers requests without the operators' key with 401.
+func (f *Front) requireKey(key hgkey.Key) func(hctx huma.Context, next func(huma.Context)) {
 	return func(hctx huma.Context, next func(huma.Context)) {
 		if key.Allows(http.Header{"Authorization": {hctx.Header("Authorization")}}) {
 			next(hctx)
 			return
 		}
-		bad := hgcall.Invalid("Authorization", "want the operators' key")
-		f.backend.Refused(bad)
+		refusal := hgcall.Invalid("Authorization", "want the operators' key")
+		f.backend.Refused(refusal)
 		hctx.SetHeader("Content-Type", "application/json")
 		hctx.SetHeader("WWW-Authenticate", "Bearer")
 		hctx.SetStatus(http.StatusUnauthorized)
-		_ = json.NewEncoder(hctx.BodyWriter()).Encode(errorBody(bad))
+		_ = json.NewEncoder(hctx.BodyWriter()).Encode(errorBody(refusal))
 	}
 }
 
-// addOperations adds the operators' routes.
-func (f *Front) addOperations(api huma.API) {
+// addOperatorRoutes adds the routes for operators.
+func (f *Front) addOperatorRoutes(api huma.API) {
 	huma.Get(api, "/v1/programs/status", func(ctx context.Context, in *programInput) (*body[hgowner.ProgramStatus], error) {
 		s, err := f.backend.Status(ctx, in.Program)
-		return &body[hgowner.ProgramStatus]{Body: s}, asStatus(err)
+		return &body[hgowner.ProgramStatus]{Body: s}, asStatusError(err)
 	})
 	huma.Get(api, "/v1/programs/history", func(ctx context.Context, in *programInput) (*body[History], error) {
 		ms, err := f.backend.History(ctx, in.Program)
-		return &body[History]{Body: History{Program: in.Program, Messages: ms}}, asStatus(err)
+		return &body[History]{Body: History{Program: in.Program, Messages: ms}}, asStatusError(err)
 	})
 	huma.Get(api, "/v1/status", func(context.Context, *struct{}) (*body[Overview], error) {
 		return &body[Overview]{Body: f.backend.Overview()}, nil
@@ -119,19 +122,19 @@
 		return &body[PresetStatus]{Body: f.backend.Presets(ctx)}, nil
 	})
 	huma.Post(api, "/v1/presets", func(ctx context.Context, in *body[hgpreset.Preset]) (*body[hgpreset.Preset], error) {
-		return &body[hgpreset.Preset]{Body: in.Body}, asStatus(f.backend.CreatePreset(ctx, in.Body))
+		return &body[hgpreset.Preset]{Body: in.Body}, asStatusError(f.backend.CreatePreset(ctx, in.Body))
 	})
 	huma.Post(api, "/v1/presets/use", func(ctx context.Context, in *useInput) (*body[hgpreset.Version], error) {
 		v, err := f.backend.UsePreset(ctx, in.Body.Name, in.Body.By)
-		var lost *PresetConflict
-		if errors.As(err, &lost) {
-			return nil, huma.Error409Conflict(lost.Error())
+		var conflict *PresetConflict
+		if errors.As(err, &conflict) {
+			return nil, huma.Error409Conflict(conflict.Error())
 		}
-		return &body[hgpreset.Version]{Body: v}, asStatus(err)
+		return &body[hgpreset.Version]{Body: v}, asStatusError(err)
 	})
 }
 
-// addProbes adds the routes that tell whether the node lives and takes new work.
+// addProbes adds the probes: /healthz succeeds while the process serves, /readyz while the node takes new work.
 func (f *Front) addProbes() {
 	f.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	f.mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
