--- a/cmd/hyssopgrade/entry.go
+++ b/cmd/hyssopgrade/entry.go
@@ -12,13 +12,13 @@
 	"hyssopgrade/internal/operate/hglog"
 )
 
-// settingsEnv names the settings file on the users' platform.
+// settingsEnv is the environment variable with the path of the settings file; the users' platform sets it.
 const settingsEnv = "HYSSOPGRADE_SETTINGS"
 
-// logLines is the number of log lines that wait for the output; more are dropped and counted.
-const logLines = 4096
+// logQueueLines is the number of log lines that may wait for a slow output; further ones are dropped and counted.
+const logQueueLines = 4096
 
-// memoryShare is the part of the VM's memory that the garbage collector aims to stay below.
+// memoryShare is the share of the VM's memory that is set as the soft memory limit of the Go runtime.
 const memoryShare = 0.6
 
 func entryCommand() *cli.Command {
@@ -31,13 +31,13 @@
 	}
 }
 
-// runEntry runs a node until the context ends, which is at the first signal to stop, also one during the start.
+// runEntry runs an entry VM until ctx ends. ctx ends at the first signal to stop, also at one that arrives during the start.
 func runEntry(ctx context.Context, path string) (err error) {
 	cfg, err := hgconfig.ReadEntry(path)
 	if err != nil {
 		return err
 	}
-	out := hglog.NewWriter(os.Stdout, logLines)
+	out := hglog.NewWriter(os.Stdout, logQueueLines)
 	defer out.Close()
 	log, err := hglog.New(out, cfg.Log.Format, cfg.Log.Level)
 	if err != nil {
@@ -57,7 +57,7 @@
 			n.Stop()
 			return nil
 		case <-hangups:
-			log.Info("settings may have changed; what the node reads of them is fixed for its process")
+			log.Info("SIGHUP ignored: the settings file is read only when the process starts")
 		}
 	}
 }
--- a/cmd/hyssopgrade/experiment.go
+++ b/cmd/hyssopgrade/experiment.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// experiment plays each policy on each load at each rate and prints the means over the seeds.
 func experiment(c *cli.Command) (err error) {
 	e := hgmodel.Experiment{Seeds: c.Int("seeds")}
 	for _, name := range c.StringSlice("policy") {
--- a/cmd/hyssopgrade/explain.go
+++ b/cmd/hyssopgrade/explain.go
@@ -41,6 +41,7 @@
 	}
 }
 
+// explain prints all log lines about an attempt or a program.
 func explain(paths []string, id string) (err error) {
 	return withLogs(paths, func(logs io.Reader) error {
 		lines, err := hgexplain.Find(logs, id)
@@ -57,7 +58,7 @@
 	})
 }
 
-// withLogs reads all files as one, or standard input if there is none.
+// withLogs calls do with the concatenation of the files, or with standard input if no file is named.
 func withLogs(paths []string, do func(logs io.Reader) error) (err error) {
 	var logs []io.Reader
 	for _, path := range paths {
--- a/cmd/hyssopgrade/hangup_test.go
+++ b/cmd/hyssopgrade/hangup_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// hangUpAfter is the time in which the Go runtime reaches main; a signal before that cannot be caught.
-const hangUpAfter = 30 * time.Millisecond
+// startupTime is the time in which the Go runtime reaches main; a signal before that cannot be caught.
+const startupTime = 30 * time.Millisecond
 
-// A hang-up soon after the start, while the settings are being read, does not end the process.
+// Guards against a SIGHUP that ends the process because it arrives soon after the start, while the settings are being read.
 func TestHangUpAtStart(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "hyssopgrade")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	// Settings from a pipe that stays silent keep the process at its start.
+	// Reading the settings from a named pipe without a writer blocks the process in its start.
 	fifo := filepath.Join(dir, "settings")
 	if err := syscall.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
@@ -30,14 +30,14 @@
 	}
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
-	time.Sleep(10 * hangUpAfter)
+	time.Sleep(10 * startupTime)
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case err := <-done:
 		t.Errorf("the process ended: %v", err)
-	case <-time.After(10 * hangUpAfter):
+	case <-time.After(10 * startupTime):
 		_ = cmd.Process.Signal(os.Kill)
 		<-done
 	}
--- a/cmd/hyssopgrade/main.go
+++ b/cmd/hyssopgrade/main.go
@@ -1,4 +1,5 @@
-// Command hyssopgrade runs a node of the scheduler and drives a running system.
+// Command hyssopgrade runs a node or an entry VM of the scheduler, and has the operators' commands: status and presets of a
+// running system, reading of its logs, replays of traces and comparisons of policies.
 package main
 
 import (
@@ -13,10 +14,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// version is the program's version.
+// version is the release that the command version prints and the OpenAPI page shows.
 const version = "0.1.0"
 
-// Exit codes.
+// Exit codes, as the constant description documents them.
 const (
 	exitFailure   = 1
 	exitUsage     = 2
@@ -25,20 +26,20 @@
 	exitNotInTime = 5
 )
 
-// exitError ends the program with a code of its own.
+// exitError is an error with its own exit code.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error returns the cause.
+// Error returns the message of the underlying error.
 func (e *exitError) Error() string { return e.err.Error() }
 
 const description = `Exit codes: 0 done; 1 failed; 2 wrong use or settings; 3 a replay found a violation;
 4 another operator won the race for a preset; 5 a preset is not applied everywhere in time.`
 
-// hangups are the signals that settings may have changed. They are caught before anything else, as by default they end
-// the process.
+// hangups receives SIGHUP, which announces that settings may have changed. It is registered before anything else in main, since
+// an uncaught SIGHUP ends the process.
 var hangups = make(chan os.Signal, 1)
 
 func main() {
@@ -54,10 +55,11 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "hyssopgrade:", trace.UserMessage(err))
-	os.Exit(code(err))
+	os.Exit(exitCode(err))
 }
 
-func code(err error) int {
+// exitCode returns the exit code for an error of a command.
+func exitCode(err error) int {
 	var e *exitError
 	switch {
 	case errors.As(err, &e):
--- a/cmd/hyssopgrade/node.go
+++ b/cmd/hyssopgrade/node.go
@@ -29,6 +29,8 @@
 	}
 }
 
+// runNode runs a node until the first signal to stop, then drains it for at most the setting limits.drainMs; a second signal
+// ends the drain.
 func runNode(path string) (err error) {
 	cfg, err := hgconfig.Read(path)
 	if err != nil {
@@ -56,7 +58,7 @@
 	defer cancel()
 	go func() {
 		<-signals
-		log.Warn("second signal", "callsCut", n.Running())
+		log.Warn("second stop signal received; ending the drain", "callsCut", n.Running())
 		cancel()
 	}()
 	err = n.Drain(ctx)
--- a/cmd/hyssopgrade/operate.go
+++ b/cmd/hyssopgrade/operate.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// operatorClient returns a client with the operators' key from the environment.
 func operatorClient(c *cli.Command) *hgcaller.Client {
 	return hgcaller.NewOperator(os.Getenv(c.String("key-env")))
 }
@@ -120,7 +121,7 @@
 	}
 	client := operatorClient(c)
 	var v hgpreset.Version
-	body := map[string]string{"name": c.Args().First(), "by": operator(c.String("by"))}
+	body := map[string]string{"name": c.Args().First(), "by": operatorName(c.String("by"))}
 	err = client.Post(ctx, c.String("node"), "/v1/presets/use", body, &v)
 	if trace.IsCompareFailed(err) {
 		return &exitError{code: exitLostRace, err: err}
@@ -139,7 +140,8 @@
 	return awaitPreset(ctx, client, progress, c.String("node"), v.Number, c.Duration("wait"))
 }
 
-func operator(by string) string {
+// operatorName returns by, or the name of the user who runs the command if by is empty.
+func operatorName(by string) string {
 	if by != "" {
 		return by
 	}
@@ -150,10 +152,11 @@
 	return u.Username
 }
 
-// progressPause is the time between two looks at who applies a preset.
-const progressPause = 250 * time.Millisecond
+// presetPollInterval is the time between two queries for the preset versions that the nodes apply.
+const presetPollInterval = 250 * time.Millisecond
 
-// awaitPreset waits until each live node applies a version, and names those that do not.
+// awaitPreset waits until each live node applies a version. After wait it returns an *exitError that names the nodes that do
+// not.
 func awaitPreset(ctx context.Context, client *hgcaller.Client, w io.Writer, node string, number uint64, wait time.Duration) (err error) {
 	end := time.Now().Add(wait)
 	for {
@@ -171,7 +174,7 @@
 		if time.Now().After(end) {
 			return &exitError{code: exitNotInTime, err: fmt.Errorf("version %d is not applied by %v", number, behind)}
 		}
-		time.Sleep(progressPause)
+		time.Sleep(presetPollInterval)
 	}
 }
 
@@ -193,7 +196,7 @@
 	}
 }
 
-// statusFlags are the operators' flags, with an entry VM in the place of a node if one is named.
+// statusFlags returns the operators' flags with --node optional, as --entry may stand in its place.
 func statusFlags() []cli.Flag {
 	flags := operatorFlags()
 	node := *flags[0].(*cli.StringFlag)
--- a/cmd/hyssopgrade/replay.go
+++ b/cmd/hyssopgrade/replay.go
@@ -33,15 +33,15 @@
 		return o, trace.BadParameter("speed %v: want more than 0", c.Float("speed"))
 	}
 	return hgreplay.Options{
-		Speed: c.Float("speed"), Deadline: c.Duration("deadline"), Patience: c.Duration("patience"), Progress: progress,
+		Speed: c.Float("speed"), Deadline: c.Duration("deadline"), Patience: c.Duration("patience"), Progress: printProgress,
 	}, nil
 }
 
-// progressSteps is the number of times that progress is shown.
+// progressSteps is the approximate number of progress lines of a replay.
 const progressSteps = 10
 
-// progress shows how many programs have ended.
-func progress(done, all int) {
+// printProgress prints the number of ended programs, at each of about progressSteps steps.
+func printProgress(done, all int) {
 	step := max(all/progressSteps, 1)
 	if done%step == 0 || done == all {
 		fmt.Fprintf(os.Stderr, "%d of %d programs ended\n", done, all)
@@ -62,6 +62,7 @@
 	}
 }
 
+// runReplay replays a trace and checks its report against the records of the stand-ins, if any are named.
 func runReplay(ctx context.Context, c *cli.Command) (err error) {
 	opts, err := replayOptions(c)
 	if err != nil {
@@ -76,26 +77,26 @@
 	defer client.Close()
 	r := hgreplay.NewReplay(client, opts).Run(ctx, programs)
 	if standins := c.StringSlice("standin"); len(standins) > 0 {
-		var all []hgstandin.Execution
+		var executions []hgstandin.Execution
 		for _, address := range standins {
 			var list []hgstandin.Execution
 			if err := client.Get(ctx, address, "/record", &list); err != nil {
 				return err
 			}
-			all = append(all, list...)
+			executions = append(executions, list...)
 			var waste hgstandin.Waste
 			if err := client.Get(ctx, address, "/waste", &waste); err != nil {
 				return err
 			}
 			r.AddWaste(waste)
 		}
-		r.CheckRecords(all)
+		r.CheckRecords(executions)
 	}
-	return finish(c, r)
+	return printReport(c, r)
 }
 
-// finish prints the report; a violation is an error.
-func finish(c *cli.Command, r *hgreplay.Report) (err error) {
+// printReport prints the report of a replay. If it has violations, the error is an *exitError.
+func printReport(c *cli.Command, r *hgreplay.Report) (err error) {
 	if c.Bool("json") {
 		err = json.NewEncoder(os.Stdout).Encode(struct {
 			*hgreplay.Report
@@ -124,14 +125,14 @@
 }
 
 const (
-	// demoVMs and demoPrograms are the size of the demo on the platform.
+	// demoVMs and demoPrograms are the numbers of entry VMs and of programs in the demo on the platform.
 	demoVMs      = 6
 	demoPrograms = 60
-	// demoReady is the time in which its VMs must be up.
-	demoReady = 10 * time.Second
+	// demoReadyTimeout bounds the wait until all entry VMs of the demo are ready.
+	demoReadyTimeout = 10 * time.Second
 )
 
-// runPlatformDemo plays programs over entry VMs, one of which stops in the middle.
+// runPlatformDemo plays programs over entry VMs and stops one of the VMs after a second. A program that failed is an error.
 func runPlatformDemo(ctx context.Context, c *cli.Command) (err error) {
 	log, err := hglog.New(os.Stderr, "text", c.String("log"))
 	if err != nil {
@@ -142,7 +143,7 @@
 		return err
 	}
 	defer site.Close()
-	if err := site.WaitReady(demoReady); err != nil {
+	if err := site.WaitReady(demoReadyTimeout); err != nil {
 		return err
 	}
 	time.AfterFunc(time.Second, site.Nodes[1].Stop)
@@ -154,6 +155,7 @@
 	return nil
 }
 
+// runDemo replays a shipped trace on a cell of nodes and stand-ins in this process.
 func runDemo(ctx context.Context, c *cli.Command) (err error) {
 	if c.Bool("platform") {
 		return runPlatformDemo(ctx, c)
@@ -179,5 +181,5 @@
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "nodes %s\n", strings.Join(cell.Addresses(), " "))
-	return finish(c, cell.Replay(ctx, programs, opts))
+	return printReport(c, cell.Replay(ctx, programs, opts))
 }
--- a/cmd/hyssopgradesoak/main.go
+++ b/cmd/hyssopgradesoak/main.go
@@ -32,11 +32,13 @@
 	}
 }
 
-// usualOwnEnds is the number of processes that may end within their start, by a signal, before the logs of a seed are kept.
-const usualOwnEnds = 2
+// maxStartExits is the number of processes of a seed that a signal may end during their start, before they can catch it; with
+// more the logs of the seed are kept.
+const maxStartExits = 2
 
+// run runs each seed in a directory of its own. It removes the directory unless there were violations or unusually many exits.
 func run(ctx context.Context, c *cli.Command) (err error) {
-	bad := 0
+	failedSeeds := 0
 	for i := range c.Int("seeds") {
 		dir, err := os.MkdirTemp("", "hyssopgradesoak")
 		if err != nil {
@@ -51,7 +53,7 @@
 			return err
 		}
 		fmt.Printf("seed %d: %d programs, answers %v, faults %v, %d violations\n", seed, r.Programs, r.Counts, r.Faults, len(r.Violations))
-		if len(r.Violations) == 0 && r.Counts[hgsoak.OwnEnds] <= usualOwnEnds {
+		if len(r.Violations) == 0 && r.Counts[hgsoak.OwnEnds] <= maxStartExits {
 			_ = os.RemoveAll(dir)
 			continue
 		}
@@ -59,13 +61,13 @@
 		if len(r.Violations) == 0 {
 			continue
 		}
-		bad++
+		failedSeeds++
 		for _, v := range r.Violations {
 			fmt.Println("  ", v)
 		}
 	}
-	if bad > 0 {
-		return trace.CompareFailed("%d seeds with violations", bad)
+	if failedSeeds > 0 {
+		return trace.CompareFailed("%d seeds with violations", failedSeeds)
 	}
 	return nil
 }
--- a/cmd/hyssopgradestandin/main.go
+++ b/cmd/hyssopgradestandin/main.go
@@ -1,4 +1,4 @@
-// Command hyssopgradestandin runs a stand-in for the platform, a model engine or a tool service.
+// Command hyssopgradestandin runs a test double of the platform, a model engine or a tool service as a process.
 package main
 
 import (
@@ -55,6 +55,7 @@
 	}
 }
 
+// setVMs reads the VM list from a JSON file into the platform's store.
 func setVMs(p *hgstandin.Platform, path string) (err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -68,6 +69,7 @@
 	return nil
 }
 
+// endpointCommand returns the command for one kind of endpoint; engine and tool run the same stand-in with the same flags.
 func endpointCommand(name string) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: "a " + name + " endpoint",
