--- a/internal/serve/hgendpoint/endpoint.go
+++ b/internal/serve/hgendpoint/endpoint.go
@@ -84,7 +84,7 @@
 // OutcomeState is the progress of a tool request at its endpoint.
 type OutcomeState string
 
-// States of a tool request; an unseen one has not reached the endpoint.
+// States of a tool request; the endpoint has no record of an unseen one.
 const (
 	OutcomeEnded   OutcomeState = "ended"
 	OutcomeRunning OutcomeState = "running"
--- a/internal/serve/hgendpoint/http.go
+++ b/internal/serve/hgendpoint/http.go
@@ -31,7 +31,7 @@
 type HTTP struct {
 	name string
 	base string
-	// client reuses connections; it is for requests that may be sent twice.
+	// client reuses connections; it is for idempotent requests.
 	client *http.Client
 	// unpooled opens a connection for each request, so that net/http never sends the request a second time.
 	unpooled *http.Client
