--- a/internal/peer/hgnode/cell.go
+++ b/internal/peer/hgnode/cell.go
@@ -314,7 +314,7 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, opTimeout)
 	defer cancel()
-	if _, err := hgjournal.Collect(ctx, n.store, uint32(n.cfg.Node.Shards), collectRows); err != nil {
+	if _, err := hgjournal.CollectGarbage(ctx, n.store, uint32(n.cfg.Node.Shards), collectRows); err != nil {
 		n.log.Warn("batch rows not collected", "err", err)
 	}
 }
--- a/internal/state/hgjournal/committer.go
+++ b/internal/state/hgjournal/committer.go
@@ -13,17 +13,18 @@
 	"hyssopgrade/hgstore"
 )
 
-// Events receives what a Committer did; its methods must not block.
+// Events receives the outcomes of a Committer's work; its methods must not block.
 type Events interface {
-	// Committed tells that all records of the shard up to n are durable.
+	// Committed reports that all records of the shard up to n are durable.
 	Committed(shard uint32, n uint64)
-	// LostShard tells that the shard has another owner.
+	// LostShard reports that the shard has another owner.
 	LostShard(shard uint32)
-	// CommitDone reports each transaction: how many records, how many tries and how long.
-	CommitDone(records, tries int, took time.Duration)
+	// CommitDone reports a finished transaction: the number of its records, the attempts and the duration.
+	CommitDone(records, attempts int, took time.Duration)
 }
 
 // Committer writes the records of a node's shards in group commits, one transaction at a time.
+// Its methods are safe for concurrent use; the transactions run in the goroutine of Run.
 type Committer struct {
 	store  hgstore.Store
 	run    string
@@ -31,37 +32,43 @@
 	events Events
 
 	wake chan struct{}
-	ops  chan func(ctx context.Context)
-	// rate bounds the transactions over time and lets an idle node's first ones through at once.
+	// ops are functions that Run executes between two batches.
+	ops chan func(ctx context.Context)
+	// rate limits the transactions on average; its burst lets an idle node commit at once.
 	rate *rate.Limiter
 
 	mu      sync.Mutex
 	held    map[uint32]*heldShard
 	pending []Entry
-	failing time.Time
-	next    uint64
+	// failingSince is the time of the first failure since the last success; zero while the store works.
+	failingSince time.Time
+	nextBatch    uint64
 }
 
-// heldShard is a shard that this node owns: its row as last written and the batches that hold its records.
+// heldShard is a shard that this node owns.
 type heldShard struct {
-	row       ShardRow
-	version   uint64
+	// row and version are those of the shard's row as last written.
+	row     ShardRow
+	version uint64
+	// appended and committed are the numbers of the last record queued and of the last durable one.
 	appended  uint64
 	committed uint64
-	uncompact int
+	// uncompacted counts the records committed since the last segment.
+	uncompacted int
 }
 
-// NewCommitter returns a committer for one run of a node; the run's name must never be used again.
+// NewCommitter returns a committer for one run of a node. The run's name must never be used again, because it is part of
+// the keys of the run's batches.
 func NewCommitter(store hgstore.Store, run string, events Events, opts ...Option) *Committer {
 	o := newOptions(opts)
 	return &Committer{
 		store: store, run: run, opts: o, events: events, rate: rate.NewLimiter(rate.Limit(o.perSecond), o.burst),
-		held: map[uint32]*heldShard{}, wake: make(chan struct{}, 1), ops: make(chan func(context.Context)), next: 1,
+		held: map[uint32]*heldShard{}, wake: make(chan struct{}, 1), ops: make(chan func(context.Context)), nextBatch: 1,
 	}
 }
 
-// Append queues records of a shard held under epoch; records of one shard must come in order.
-// Records for a shard that is not held under that epoch are dropped, since they can never be durable.
+// Append queues records of a shard; the records of one shard must be appended in order. It drops records of a shard
+// that is not held under the epoch, because they can never become durable.
 func (c *Committer) Append(shard uint32, epoch uint64, recs []hgprogram.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,20 +88,20 @@
 	}
 }
 
-// SetRate changes the most transactions per second.
+// SetRate changes the limit on transactions per second.
 func (c *Committer) SetRate(perSecond float64) { c.rate.SetLimit(rate.Limit(perSecond)) }
 
-// FailingFor returns how long commits have failed without a success; 0 means the store works.
+// FailingFor returns the time since the first failed commit after the last success; 0 means that the store works.
 func (c *Committer) FailingFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.failing.IsZero() {
+	if c.failingSince.IsZero() {
 		return 0
 	}
-	return time.Since(c.failing)
+	return time.Since(c.failingSince)
 }
 
-// Run commits until ctx ends.
+// Run commits appended records until ctx ends.
 func (c *Committer) Run(ctx context.Context) {
 	for {
 		select {
@@ -113,21 +120,22 @@
 	}
 }
 
-// flush commits one batch of what is pending.
+// flush commits one batch of the pending records.
 func (c *Committer) flush(ctx context.Context) {
-	if entries := c.take(); len(entries) > 0 {
+	if entries := c.takePending(); len(entries) > 0 {
 		c.commit(ctx, entries)
 	}
 }
 
-// take removes pending entries up to the size of one batch, merged by shard, and drops those of shards not held.
-func (c *Committer) take() []Entry {
+// takePending removes pending entries up to the size of one batch and returns them merged by shard.
+// It drops entries of shards that are no longer held.
+func (c *Committer) takePending() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index := map[uint32]int{}
 	var entries []Entry
 	n, records := 0, 0
-	for ; n < len(c.pending) && records < c.opts.maxRecords; n++ {
+	for ; n < len(c.pending) && records < c.opts.maxBatchRecords; n++ {
 		e := c.pending[n]
 		h := c.held[e.Shard]
 		if h == nil {
@@ -149,31 +157,32 @@
 	return entries
 }
 
-// commit makes entries durable; it goes on until each entry is committed or its shard is lost.
+// commit makes entries durable: it retries under new batch numbers until every entry is committed or its shard is lost,
+// or until ctx ends.
 func (c *Committer) commit(ctx context.Context, entries []Entry) {
 	for len(entries) > 0 && ctx.Err() == nil {
-		n := c.takeNumber()
+		n := c.nextBatchNumber()
 		lost, err := c.commitBatch(ctx, n, entries)
 		if err != nil {
 			return
 		}
 		if len(lost) == 0 {
-			c.settle(n, entries)
+			c.markCommitted(n, entries)
 			return
 		}
-		entries = c.drop(entries, lost)
+		entries = c.dropLost(entries, lost)
 	}
 }
 
-func (c *Committer) takeNumber() uint64 {
+func (c *Committer) nextBatchNumber() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.next
-	c.next++
+	n := c.nextBatch
+	c.nextBatch++
 	return n
 }
 
-// commitBatch writes batch n; lost are the shards on whose account it was certainly not written.
+// commitBatch writes batch n. If shards have another owner, the batch is not written and these shards are returned as lost.
 func (c *Committer) commitBatch(ctx context.Context, n uint64, entries []Entry) (lost map[uint32]bool, err error) {
 	defer func() { err = trace.Wrap(err, "commit batch %d of run %q", n, c.run) }()
 	data, err := BatchCodec.Encode(Batch{Entries: entries})
@@ -188,13 +197,13 @@
 		t.Conditions = append(t.Conditions, hgstore.Condition{Key: ShardKey(e.Shard), Version: e.version})
 	}
 	start := time.Now()
-	conflicts, _, tries, err := c.write(ctx, t, func(ctx context.Context) (uint64, bool, error) {
-		return c.written(ctx, batchKey(c.run, n))
+	conflicts, _, attempts, err := c.commitUntilKnown(ctx, t, func(ctx context.Context) (uint64, bool, error) {
+		return c.rowVersion(ctx, batchKey(c.run, n))
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.events.CommitDone(countRecords(entries), tries, time.Since(start))
+	c.events.CommitDone(countRecords(entries), attempts, time.Since(start))
 	lost = map[uint32]bool{}
 	for _, k := range conflicts {
 		lost[shards[k]] = true
@@ -202,19 +211,20 @@
 	return lost, nil
 }
 
-// write commits t until the outcome is certain. After a conflict that follows an ambiguous try,
-// mine tells whether the earlier try was applied, and the version of what it wrote.
-func (c *Committer) write(ctx context.Context, t hgstore.Txn, mine func(ctx context.Context) (uint64, bool, error)) (conflicts []string, version uint64, tries int, err error) {
+// commitUntilKnown retries t until its outcome is known. If an attempt after the first meets a conflict, an earlier one
+// whose reply was lost may have caused it: checkApplied then reports whether an earlier attempt was applied, and the
+// version of the row it wrote.
+func (c *Committer) commitUntilKnown(ctx context.Context, t hgstore.Txn, checkApplied func(ctx context.Context) (uint64, bool, error)) (conflicts []string, version uint64, attempts int, err error) {
 	wait := c.opts.retryMin
-	for tries = 1; ; tries++ {
+	for attempts = 1; ; attempts++ {
 		version, err = c.store.Commit(ctx, t)
 		keys, conflict := hgstore.IsConflict(err)
 		if conflict {
 			err = nil
 		}
-		if conflict && tries > 1 {
+		if conflict && attempts > 1 {
 			var applied bool
-			version, applied, err = mine(ctx)
+			version, applied, err = checkApplied(ctx)
 			conflict = !applied
 		}
 		if err == nil {
@@ -222,20 +232,20 @@
 			if !conflict {
 				keys = nil
 			}
-			return keys, version, tries, nil
+			return keys, version, attempts, nil
 		}
 		c.setFailing(true)
 		select {
 		case <-ctx.Done():
-			return nil, 0, tries, ctx.Err()
+			return nil, 0, attempts, ctx.Err()
 		case <-time.After(wait):
 		}
 		wait = min(2*wait, c.opts.retryMax)
 	}
 }
 
-// written returns the version of a row and whether it exists.
-func (c *Committer) written(ctx context.Context, key string) (version uint64, ok bool, err error) {
+// rowVersion returns the version of a row and whether the row exists.
+func (c *Committer) rowVersion(ctx context.Context, key string) (version uint64, ok bool, err error) {
 	row, err := c.store.Get(ctx, key)
 	if trace.IsNotFound(err) {
 		return 0, false, nil
@@ -248,9 +258,9 @@
 	defer c.mu.Unlock()
 	switch {
 	case !failing:
-		c.failing = time.Time{}
-	case c.failing.IsZero():
-		c.failing = time.Now()
+		c.failingSince = time.Time{}
+	case c.failingSince.IsZero():
+		c.failingSince = time.Now()
 	}
 }
 
@@ -262,8 +272,8 @@
 	return n
 }
 
-// settle notes that batch n is durable.
-func (c *Committer) settle(n uint64, entries []Entry) {
+// markCommitted records that the entries of batch n are durable and reports them.
+func (c *Committer) markCommitted(n uint64, entries []Entry) {
 	c.mu.Lock()
 	for _, e := range entries {
 		h := c.held[e.Shard]
@@ -271,7 +281,7 @@
 			continue
 		}
 		h.committed = e.Records[len(e.Records)-1].N
-		h.uncompact += len(e.Records)
+		h.uncompacted += len(e.Records)
 	}
 	c.mu.Unlock()
 	for _, e := range entries {
@@ -279,22 +289,22 @@
 	}
 }
 
-// drop forgets lost shards and returns the entries of the others.
-func (c *Committer) drop(entries []Entry, lost map[uint32]bool) []Entry {
+// dropLost stops committing for lost shards, reports them, and returns the entries of the others.
+func (c *Committer) dropLost(entries []Entry, lost map[uint32]bool) []Entry {
 	var rest []Entry
 	for _, e := range entries {
 		if !lost[e.Shard] {
 			rest = append(rest, e)
 			continue
 		}
-		c.forget(e.Shard)
+		c.dropShard(e.Shard)
 		c.events.LostShard(e.Shard)
 	}
 	return rest
 }
 
-// forget drops a shard and its pending records.
-func (c *Committer) forget(shard uint32) {
+// dropShard stops committing for a shard and discards its pending records.
+func (c *Committer) dropShard(shard uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.held, shard)
--- a/internal/state/hgjournal/committer_test.go
+++ b/internal/state/hgjournal/committer_test.go
@@ -19,55 +19,55 @@
 	"hyssopgrade/hgstore"
 )
 
-// watcher notes what a committer reports.
-type watcher struct {
+// eventRecorder records the events that a committer reports.
+type eventRecorder struct {
 	mu        sync.Mutex
 	committed map[uint32]uint64
 	lost      map[uint32]bool
 }
 
-func newWatcher() *watcher {
-	return &watcher{committed: map[uint32]uint64{}, lost: map[uint32]bool{}}
+func newEventRecorder() *eventRecorder {
+	return &eventRecorder{committed: map[uint32]uint64{}, lost: map[uint32]bool{}}
 }
 
-func (w *watcher) Committed(s uint32, n uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.committed[s] = n
+func (r *eventRecorder) Committed(s uint32, n uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.committed[s] = n
 }
 
-func (w *watcher) LostShard(s uint32) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lost[s] = true
+func (r *eventRecorder) LostShard(s uint32) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lost[s] = true
 }
 
-func (w *watcher) told() map[uint32]uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return maps.Clone(w.committed)
+func (r *eventRecorder) reported() map[uint32]uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return maps.Clone(r.committed)
 }
 
-func (w *watcher) isLost(s uint32) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.lost[s]
+func (r *eventRecorder) isLost(s uint32) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lost[s]
 }
 
-func (w *watcher) CommitDone(int, int, time.Duration) {}
+func (r *eventRecorder) CommitDone(int, int, time.Duration) {}
 
-// writer is a node's run in a test.
+// writer is a committer of one run with the states of its shards.
 type writer struct {
 	*Committer
-	watch *watcher
-	// mu guards the states, as the owner's locks do.
+	recorder *eventRecorder
+	// mu guards states, as the locks of the shards' owner do outside tests.
 	mu     sync.Mutex
 	states map[uint32]*hgprogram.Shard
 	epochs map[uint32]uint64
 }
 
 func newWriter(store hgstore.Store, run string, opts ...Option) *writer {
-	w := &writer{watch: newWatcher(), states: map[uint32]*hgprogram.Shard{}, epochs: map[uint32]uint64{}}
+	w := &writer{recorder: newEventRecorder(), states: map[uint32]*hgprogram.Shard{}, epochs: map[uint32]uint64{}}
 	opts = append(opts, WithCompaction(20, func(s uint32) ([]byte, uint64, bool) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -75,11 +75,11 @@
 		data, err := SnapshotCodec.Encode(snap)
 		return data, snap.N, err == nil
 	}))
-	w.Committer = NewCommitter(store, run, w.watch, opts...)
+	w.Committer = NewCommitter(store, run, w.recorder, opts...)
 	return w
 }
 
-// claim takes all shards and recovers them.
+// claim claims and recovers all shards.
 func (w *writer) claim(t *testing.T, store hgstore.Store, shards uint32) {
 	t.Helper()
 	rows, err := ReadRows(t.Context(), store, shards)
@@ -100,7 +100,7 @@
 	}
 }
 
-// write opens and answers a call in a shard.
+// write appends the records of a call that begins and finishes in a shard.
 func (w *writer) write(shard uint32, i int) {
 	c := hgcall.Call{
 		Program: fmt.Sprintf("%s-%d", w.run, i), Seq: 1, Request: "r", Kind: hgcall.Tool, Target: "t/o", Deadline: time.Minute,
@@ -112,8 +112,10 @@
 	w.Append(shard, w.epochs[shard], w.states[shard].Finish(c.Program, "r", hgcall.Result{State: hgcall.Done}, 0))
 }
 
-// TestTakeoverKeepsWhatWasCommitted lets one run write while the store fails and another take its shards over:
-// the new owner has exactly the records that the old one may have told of, none is lost, and the old one commits nothing more.
+// TestTakeoverKeepsWhatWasCommitted guards against lost records and against commits of a superseded owner. One run writes
+// while the store loses replies and fails, then another takes over its shards: the new owner must have every record that
+// the old one reported as committed and none that it did not write, and the old one must commit nothing more and report the
+// shards as lost.
 func TestTakeoverKeepsWhatWasCommitted(t *testing.T) {
 	const shards = 4
 	for seed := range uint64(20) {
@@ -134,14 +136,14 @@
 			next := newWriter(store, "next")
 			next.claim(t, store, shards)
 			for s := range uint32(shards) {
-				if old.watch.isLost(s) {
-					t.Errorf("seed %d, shard %d: given up though no one took it", seed, s)
+				if old.recorder.isLost(s) {
+					t.Errorf("seed %d, shard %d: reported as lost before any takeover", seed, s)
 				}
 			}
-			told := old.watch.told()
+			reported := old.recorder.reported()
 			for s := range uint32(shards) {
-				if got := next.states[s].N(); got < told[s] || got > old.states[s].N() {
-					t.Errorf("seed %d, shard %d: recovered %d records, %d were told as committed of %d", seed, s, got, told[s], old.states[s].N())
+				if got := next.states[s].N(); got < reported[s] || got > old.states[s].N() {
+					t.Errorf("seed %d, shard %d: recovered %d records, %d were reported as committed of %d", seed, s, got, reported[s], old.states[s].N())
 				}
 				before := next.states[s].N()
 				old.write(s, 1000+int(s))
@@ -153,8 +155,8 @@
 				if diff := cmp.Diff(before, again[s].N()); diff != "" {
 					t.Errorf("seed %d, shard %d: the old owner committed after the takeover:\n%s", seed, s, diff)
 				}
-				if !old.watch.isLost(s) {
-					t.Errorf("seed %d, shard %d: the old owner was not told", seed, s)
+				if !old.recorder.isLost(s) {
+					t.Errorf("seed %d, shard %d: the old owner did not report the shard as lost", seed, s)
 				}
 			}
 			cancel()
@@ -172,7 +174,7 @@
 	return rows
 }
 
-// startWriter returns a running writer of all shards of a store, and what ends it.
+// startWriter returns a running writer that holds all shards of a store, and a function that stops it.
 func startWriter(t *testing.T, store hgstore.Store, shards uint32) (w *writer, end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -185,7 +187,8 @@
 	}
 }
 
-// TestCompactionAndCollection writes enough for segments, collects the batch rows and recovers the same state.
+// TestCompactionAndCollection writes enough records for segments and deletes the unreferenced batch rows: recovery must
+// still return the same state.
 func TestCompactionAndCollection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := hgstore.NewMemory()
@@ -196,7 +199,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		n, err := Collect(t.Context(), store, 2, 1000)
+		n, err := CollectGarbage(t.Context(), store, 2, 1000)
 		if err != nil || n < 50 {
 			t.Errorf("collected %d batch rows: %v", n, err)
 		}
@@ -212,7 +215,7 @@
 	})
 }
 
-// TestReleaseFlushesFirst gives a shard up right after a write: the next owner has the record.
+// TestReleaseFlushesFirst releases a shard right after a write: the next owner must find the record.
 func TestReleaseFlushesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := hgstore.NewMemory()
@@ -233,8 +236,8 @@
 	})
 }
 
-// TestReleaseOfManyShards gives shards up while replies are lost and another run has taken some:
-// the others are given up in one transaction, and those taken are reported as lost.
+// TestReleaseOfManyShards releases shards while replies are lost and another run has claimed some of them: the others must
+// be released in one transaction, and those claimed must be reported as lost.
 func TestReleaseOfManyShards(t *testing.T) {
 	tests := map[string]struct {
 		taken       []uint32
@@ -267,21 +270,22 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				lost := lo.Filter([]uint32{0, 1, 2, 3}, func(s uint32, _ int) bool { return w.watch.isLost(s) })
+				lost := lo.Filter([]uint32{0, 1, 2, 3}, func(s uint32, _ int) bool { return w.recorder.isLost(s) })
 				free := lo.FilterMap(mustRows(t, store, 4), func(r SeenRow, _ int) (uint32, bool) { return r.Shard, r.Row.Owner == "" })
 				if diff := cmp.Diff([][]uint32{tc.want, tc.want, tc.lost}, [][]uint32{got, free, lost}, cmpopts.EquateEmpty()); diff != "" {
 					t.Errorf("released, without owner, lost (-want +got):\n%s", diff)
 				}
 				tries := 1 + tc.loseReplies + min(len(tc.taken), 1)
 				if n := store.Usage().Commits - before; n > uint64(tries) {
-					t.Errorf("%d tries, one for each fault and one more are enough", n)
+					t.Errorf("%d attempts; one for each fault and one more are enough", n)
 				}
 			})
 		})
 	}
 }
 
-// TestReleaseCutShort ends a run while the store is down: nothing is reported as given up, and its rows keep their owner.
+// TestReleaseCutShort stops a run that releases shards while the store is down: no shard may be reported as released, and
+// the rows must keep their owner.
 func TestReleaseCutShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := hgstore.NewMemory()
--- a/internal/state/hgjournal/ownership.go
+++ b/internal/state/hgjournal/ownership.go
@@ -11,14 +11,14 @@
 	"hyssopgrade/hgstore"
 )
 
-// SeenRow is a shard's row as it was read; Version 0 means that the row does not exist.
+// SeenRow is a shard's row with the version under which it was read; version 0 means that the row does not exist.
 type SeenRow struct {
 	Shard   uint32
 	Version uint64
 	Row     ShardRow
 }
 
-// ReadRows returns the rows of all shards below n.
+// ReadRows returns the rows of all shards below n, in order; a row that does not exist has version 0.
 func ReadRows(ctx context.Context, store hgstore.Table, n uint32) (rows []SeenRow, err error) {
 	defer func() { err = trace.Wrap(err, "read shard rows") }()
 	rows = make([]SeenRow, n)
@@ -46,8 +46,9 @@
 	return rows, nil
 }
 
-// Claim takes the shards as they were seen, raising their epochs, and returns those won; the others had changed.
-// It makes one try per set of shards: on an ambiguous outcome it reads the rows and looks for its nonce.
+// Claim makes the node the owner of shards whose rows are still as seen, under raised epochs, and returns these; the rows
+// of the others had changed. It attempts each set of shards once: if the outcome is unknown, it reads the rows and looks
+// for its nonce.
 func (c *Committer) Claim(ctx context.Context, node string, seen []SeenRow) (won []SeenRow, err error) {
 	defer func() { err = trace.Wrap(err, "claim %d shards", len(seen)) }()
 	nonce := uuid.NewString()
@@ -67,14 +68,14 @@
 		case !conflict:
 			return c.findClaimed(ctx, nonce, next)
 		}
-		seen = without(seen, keys)
+		seen = withoutKeys(seen, keys)
 	}
 	return nil, nil
 }
 
 func (c *Committer) claimTxn(node, nonce string, seen []SeenRow) (next []SeenRow, t hgstore.Txn, err error) {
 	c.mu.Lock()
-	from := c.next
+	from := c.nextBatch
 	c.mu.Unlock()
 	for _, s := range seen {
 		row := s.Row
@@ -93,7 +94,7 @@
 	return next, t, nil
 }
 
-// findClaimed returns the shards whose rows carry the nonce.
+// findClaimed reads the rows of claimed shards and returns those that carry the nonce.
 func (c *Committer) findClaimed(ctx context.Context, nonce string, next []SeenRow) (won []SeenRow, err error) {
 	for _, s := range next {
 		r, err := c.store.Get(ctx, ShardKey(s.Shard))
@@ -111,30 +112,32 @@
 	return won, nil
 }
 
-func without(seen []SeenRow, keys []string) []SeenRow {
-	failed := map[string]bool{}
+// withoutKeys returns the rows whose keys are not listed.
+func withoutKeys(seen []SeenRow, keys []string) []SeenRow {
+	excluded := map[string]bool{}
 	for _, k := range keys {
-		failed[k] = true
+		excluded[k] = true
 	}
 	var rest []SeenRow
 	for _, s := range seen {
-		if !failed[ShardKey(s.Shard)] {
+		if !excluded[ShardKey(s.Shard)] {
 			rest = append(rest, s)
 		}
 	}
 	return rest
 }
 
-// Hold starts committing for a claimed shard whose last durable record is n; records pending from an earlier hold are dropped.
+// Hold starts committing for a claimed shard whose last durable record is n. It drops records that are still pending from
+// an earlier hold of the shard.
 func (c *Committer) Hold(claimed SeenRow, n uint64) {
-	c.forget(claimed.Shard)
+	c.dropShard(claimed.Shard)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.held[claimed.Shard] = &heldShard{row: claimed.Row, version: claimed.Version, appended: n, committed: n}
 }
 
-// Release gives shards up in one transaction once all their records are durable; their rows then have no owner.
-// Shards that have another owner are left out of those released.
+// Release clears the owners of shards in one transaction once all their records are durable. The result leaves out shards
+// that turned out to have another owner.
 func (c *Committer) Release(ctx context.Context, shards []uint32) (released []uint32, err error) {
 	defer func() { err = trace.Wrap(err, "release %d shards", len(shards)) }()
 	type outcome struct {
@@ -173,13 +176,13 @@
 	}
 	written, _, err := c.writeRows(ctx, rows)
 	for _, r := range written {
-		c.forget(r.Shard)
+		c.dropShard(r.Shard)
 		released = append(released, r.Shard)
 	}
 	return released, err
 }
 
-// heldRows returns the rows of those of the shards that are held.
+// heldRows returns the rows of the listed shards that are held.
 func (c *Committer) heldRows(shards []uint32) (rows []SeenRow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +194,7 @@
 	return rows
 }
 
-// flushed tells whether all records of the shards are durable.
+// flushed reports whether all appended records of the shards are durable.
 func (c *Committer) flushed(shards []uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,8 +206,8 @@
 	return true
 }
 
-// writeRows replaces held shards' rows in one transaction. It returns those written and their new version;
-// the others have another owner and are lost.
+// writeRows replaces the rows of held shards in one transaction. It returns the rows written and their new version; the
+// shards of the other rows have another owner and are dropped as lost.
 func (c *Committer) writeRows(ctx context.Context, rows []SeenRow) (written []SeenRow, version uint64, err error) {
 	for len(rows) > 0 {
 		nonce := uuid.NewString()
@@ -213,13 +216,13 @@
 			return nil, 0, err
 		}
 		first := ShardKey(rows[0].Shard)
-		conflicts, version, _, err := c.write(ctx, t, func(ctx context.Context) (uint64, bool, error) {
+		conflicts, version, _, err := c.commitUntilKnown(ctx, t, func(ctx context.Context) (uint64, bool, error) {
 			r, err := c.store.Get(ctx, first)
 			if err != nil {
 				return 0, false, err
 			}
-			now, err := ShardRowCodec.Decode(r.Value)
-			return r.Version, err == nil && now.Nonce == nonce, err
+			current, err := ShardRowCodec.Decode(r.Value)
+			return r.Version, err == nil && current.Nonce == nonce, err
 		})
 		if err != nil {
 			return nil, 0, err
@@ -227,7 +230,7 @@
 		if len(conflicts) == 0 {
 			return rows, version, nil
 		}
-		rows = c.dropRows(rows, conflicts)
+		rows = c.dropConflicting(rows, conflicts)
 	}
 	return nil, 0, nil
 }
@@ -246,21 +249,22 @@
 	return t, nil
 }
 
-// dropRows forgets the shards whose rows have changed and returns the others.
-func (c *Committer) dropRows(rows []SeenRow, conflicts []string) []SeenRow {
-	rest := without(rows, conflicts)
+// dropConflicting drops the shards whose rows have changed, reports them as lost, and returns the others.
+func (c *Committer) dropConflicting(rows []SeenRow, conflicts []string) []SeenRow {
+	rest := withoutKeys(rows, conflicts)
 	for _, r := range rows {
 		if !lo.ContainsBy(rest, func(s SeenRow) bool { return s.Shard == r.Shard }) {
-			c.forget(r.Shard)
+			c.dropShard(r.Shard)
 			c.events.LostShard(r.Shard)
 		}
 	}
 	return rest
 }
 
-// compactOne writes a segment for one shard that has enough records for it.
+// compactOne writes a segment for at most one shard, points the shard's row to it and deletes the previous segment.
+// The row then needs only this run's batches from the number that was next before the snapshot was taken.
 func (c *Committer) compactOne(ctx context.Context) {
-	shard, h, from, ok := c.due()
+	shard, h, from, ok := c.compactionCandidate()
 	if !ok {
 		return
 	}
@@ -268,7 +272,7 @@
 	if !ok {
 		return
 	}
-	for !c.reached(shard, last) && ctx.Err() == nil {
+	for !c.committedThrough(shard, last) && ctx.Err() == nil {
 		c.flush(ctx)
 	}
 	row := h.row
@@ -285,27 +289,29 @@
 		return
 	}
 	c.mu.Lock()
-	h.row, h.version, h.uncompact = row, version, 0
+	h.row, h.version, h.uncompacted = row, version, 0
 	c.mu.Unlock()
 	if old != "" {
 		_ = c.store.DeleteObject(putCtx, old)
 	}
 }
 
-// due returns the held shard with the most records since its segment, if these are enough, and the next batch number.
-func (c *Committer) due() (shard uint32, h *heldShard, from uint64, ok bool) {
+// compactionCandidate returns the held shard with the most records since its segment, if they are enough for a new one,
+// and the next batch number.
+func (c *Committer) compactionCandidate() (shard uint32, h *heldShard, from uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	most := c.opts.compactRecords - 1
 	for s, v := range c.held {
-		if v.uncompact > most {
-			shard, h, most = s, v, v.uncompact
+		if v.uncompacted > most {
+			shard, h, most = s, v, v.uncompacted
 		}
 	}
-	return shard, h, c.next, h != nil
+	return shard, h, c.nextBatch, h != nil
 }
 
-func (c *Committer) reached(shard uint32, n uint64) bool {
+// committedThrough reports whether record n of a shard is durable; it is true too once the shard is no longer held.
+func (c *Committer) committedThrough(shard uint32, n uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.held[shard]
--- a/internal/state/hgjournal/recovery.go
+++ b/internal/state/hgjournal/recovery.go
@@ -12,26 +12,27 @@
 	"hyssopgrade/hgstore"
 )
 
-// scanRows is the number of batch rows read at a time.
-const scanRows = 200
+// scanPageSize is the number of batch rows that one scan reads.
+const scanPageSize = 200
 
-// Recover rebuilds the state of claimed shards; each writer's batches are read once for all of them.
+// Recover rebuilds the state of claimed shards from their segments and batches. It reads the batches of each writer once
+// for all shards.
 func Recover(ctx context.Context, store hgstore.Store, claimed []SeenRow, now time.Duration) (states map[uint32]*hgprogram.Shard, err error) {
 	defer func() { err = trace.Wrap(err, "recover %d shards", len(claimed)) }()
 	states = map[uint32]*hgprogram.Shard{}
-	from := map[string]uint64{}
+	firstBatch := map[string]uint64{}
 	for _, s := range claimed {
 		if states[s.Shard], err = readSegment(ctx, store, s.Row.Segment, now); err != nil {
 			return nil, err
 		}
 		for _, w := range s.Row.Writers {
-			if old, ok := from[w.Run]; !ok || w.From < old {
-				from[w.Run] = w.From
+			if old, ok := firstBatch[w.Run]; !ok || w.From < old {
+				firstBatch[w.Run] = w.From
 			}
 		}
 	}
 	records := map[uint32][]hgprogram.Record{}
-	for run, n := range from {
+	for run, n := range firstBatch {
 		if err := readBatches(ctx, store, run, n, states, records); err != nil {
 			return nil, err
 		}
@@ -40,7 +41,7 @@
 		slices.SortFunc(recs, func(a, b hgprogram.Record) int { return int(int64(a.N) - int64(b.N)) })
 		for _, r := range recs {
 			if err := states[shard].Apply(r, now); err != nil {
-				return nil, trace.Wrap(err, "shard %d", shard)
+				return nil, trace.Wrap(err, "apply records of shard %d", shard)
 			}
 		}
 	}
@@ -63,20 +64,20 @@
 	return s, s.Restore(snap, now)
 }
 
-// readBatches adds the records of the wanted shards in one run's batches from number n on.
+// readBatches reads the batches of one run from number n on and adds the records of the wanted shards to records.
 func readBatches(ctx context.Context, store hgstore.Table, run string, n uint64, wanted map[uint32]*hgprogram.Shard, records map[uint32][]hgprogram.Record) (err error) {
 	prefix := BatchPrefix + run + "/"
-	after := batchKey(run, n-1)
+	cursor := batchKey(run, n-1)
 	for {
-		rows, err := store.Scan(ctx, prefix, after, scanRows)
+		rows, err := store.Scan(ctx, prefix, cursor, scanPageSize)
 		if err != nil {
 			return err
 		}
 		for _, r := range rows {
-			after = r.Key
+			cursor = r.Key
 			b, err := BatchCodec.Decode(r.Value)
 			if err != nil {
-				return trace.Wrap(err, "row %q", r.Key)
+				return trace.Wrap(err, "decode batch row %q", r.Key)
 			}
 			for _, e := range b.Entries {
 				if wanted[e.Shard] != nil {
@@ -84,16 +85,16 @@
 				}
 			}
 		}
-		if len(rows) < scanRows {
+		if len(rows) < scanPageSize {
 			return nil
 		}
 	}
 }
 
-// Collect deletes up to limit batch rows that no shard row refers to and returns how many it deleted.
-// Batches are listed before the shard rows are read: a reference to a listed batch can only go away.
-func Collect(ctx context.Context, store hgstore.Table, shards uint32, limit int) (n int, err error) {
-	defer func() { err = trace.Wrap(err, "collect batch rows") }()
+// CollectGarbage looks at up to limit batch rows, deletes those that no shard row refers to, and returns their number.
+// It lists the batches before it reads the shard rows: shard rows can lose references to a listed batch but gain none.
+func CollectGarbage(ctx context.Context, store hgstore.Table, shards uint32, limit int) (n int, err error) {
+	defer func() { err = trace.Wrap(err, "delete unreferenced batch rows") }()
 	batches, err := store.Scan(ctx, BatchPrefix, "", limit)
 	if err != nil || len(batches) == 0 {
 		return 0, err
@@ -102,18 +103,18 @@
 	if err != nil {
 		return 0, err
 	}
-	from := map[string]uint64{}
+	firstBatch := map[string]uint64{}
 	for _, s := range rows {
 		for _, w := range s.Row.Writers {
-			if old, ok := from[w.Run]; !ok || w.From < old {
-				from[w.Run] = w.From
+			if old, ok := firstBatch[w.Run]; !ok || w.From < old {
+				firstBatch[w.Run] = w.From
 			}
 		}
 	}
 	var t hgstore.Txn
 	for _, b := range batches {
 		run, _, _ := strings.Cut(strings.TrimPrefix(b.Key, BatchPrefix), "/")
-		if least, ok := from[run]; !ok || b.Key < batchKey(run, least) {
+		if first, ok := firstBatch[run]; !ok || b.Key < batchKey(run, first) {
 			t.Deletes = append(t.Deletes, b.Key)
 		}
 	}
