--- a/internal/peer/hginner/client.go
+++ b/internal/peer/hginner/client.go
@@ -23,7 +23,7 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// Client speaks to the peers of a node; it is safe for concurrent use.
+// Client sends requests to the other nodes of the cell; it is safe for concurrent use.
 type Client struct {
 	key     string
 	timer   hgtimer.Timer
@@ -35,10 +35,10 @@
 	conns map[string]*rpc.Client
 }
 
-// Dial connects to a peer.
+// Dial connects to a peer; tests replace it to cut the network.
 type Dial func(ctx context.Context, network, address string) (conn net.Conn, err error)
 
-// NewClient returns a client that bounds each control message by the timeout; without dial it connects by TCP.
+// NewClient returns a client that waits at most the timeout for the reply to a control message. A nil dial means TCP.
 func NewClient(key string, timer hgtimer.Timer, timeout time.Duration, dial Dial) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: timeout}).DialContext
@@ -49,17 +49,17 @@
 	}
 }
 
-// Beat exchanges heartbeats with the node at address.
+// Beat sends a heartbeat to the node at address and returns that node's.
 func (c *Client) Beat(address string, b Beat) (reply Beat, err error) {
 	return invoke[Beat, Beat](c, address, "Inner.Beat", b)
 }
 
-// Preset asks for the preset that the node at address applies.
+// Preset returns the version of the preset that the node at address applies.
 func (c *Client) Preset(address string) (reply PresetReply, err error) {
 	return invoke[Empty, PresetReply](c, address, "Inner.Preset", Empty{})
 }
 
-// Suspect tells the node at address of a suspect.
+// Suspect reports a request that was running when an endpoint died, or its clearing, to the node at address.
 func (c *Client) Suspect(address string, s hgquarantine.Suspect) (err error) {
 	_, err = invoke[hgquarantine.Suspect, Empty](c, address, "Inner.Suspect", s)
 	return err
@@ -71,19 +71,20 @@
 	return reply.OK, err
 }
 
-// LeaveTurn tells the node at address that a copy of a request has ended.
+// LeaveTurn reports to the node at address that a copy of a request has ended.
 func (c *Client) LeaveTurn(address string, t Turn) (err error) {
 	_, err = invoke[Turn, Empty](c, address, "Inner.Leave", t)
 	return err
 }
 
-// Nudge tells the node at address that shard rows have changed.
+// Nudge tells the node at address to read the shard rows, because they have changed.
 func (c *Client) Nudge(address string) (err error) {
 	_, err = invoke[Empty, Empty](c, address, "Inner.Nudge", Empty{})
 	return err
 }
 
-// invoke calls a method; a connection that fails or does not answer in time is closed.
+// invoke calls a method over the connection to address. After any error, or without a reply in time, it closes the
+// connection, so that the next call dials again.
 func invoke[A, R any](c *Client, address, method string, args A) (reply R, err error) {
 	defer func() { err = trace.Wrap(err, "%s at %s", method, address) }()
 	conn, err := c.conn(address)
@@ -92,17 +93,17 @@
 	}
 	var got R
 	call := conn.Go(method, args, &got, make(chan *rpc.Call, 1))
-	late := make(chan struct{})
-	stop := c.timer.After(c.timeout, func(time.Duration) { close(late) })
+	timedOut := make(chan struct{})
+	stop := c.timer.After(c.timeout, func(time.Duration) { close(timedOut) })
 	defer stop()
 	select {
 	case <-call.Done:
 		err = call.Error
-	case <-late:
-		err = trace.ConnectionProblem(nil, "no answer in %s", c.timeout)
+	case <-timedOut:
+		err = trace.ConnectionProblem(nil, "no reply within %s", c.timeout)
 	}
 	if err != nil {
-		c.drop(address, conn)
+		c.closeConn(address, conn)
 		return reply, err
 	}
 	return got, nil
@@ -129,7 +130,7 @@
 	return conn, nil
 }
 
-func (c *Client) drop(address string, conn *rpc.Client) {
+func (c *Client) closeConn(address string, conn *rpc.Client) {
 	c.mu.Lock()
 	if c.conns[address] == conn {
 		delete(c.conns, address)
@@ -138,7 +139,7 @@
 	_ = conn.Close()
 }
 
-// dialRPC opens a control connection.
+// dialRPC opens a connection for net/rpc by an HTTP CONNECT that carries the cell's key.
 func (c *Client) dialRPC(address string) (client *rpc.Client, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
@@ -161,13 +162,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if w.Status != connected {
-		return nil, trace.AccessDenied("inner port answered %q", w.Status)
+	if w.Status != connectedStatus {
+		return nil, trace.AccessDenied("inner port refused the control connection: %s", w.Status)
 	}
 	return rpc.NewClient(conn), conn.SetDeadline(time.Time{})
 }
 
-// Close closes the connections.
+// Close closes the control connections and the idle connections of forwarded calls.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,19 +179,20 @@
 	c.forward.CloseIdleConnections()
 }
 
-// Call forwards a call to the node at address. The error is a *hgowner.NotOwner, a *hgcall.Refusal,
-// or another when the forward failed; sent says that pieces were passed on.
+// Call forwards a call to the node at address and passes the pieces of its output to out. The error is a *hgowner.NotOwner or
+// a *hgcall.Refusal if the node answered so, and of another type if the forwarding failed. sent reports whether any piece
+// was passed to out.
 func (c *Client) Call(ctx context.Context, address string, call hgcall.Call, out hgowner.Sink) (r hgcall.Result, sent bool, err error) {
 	return c.post(ctx, address, "/inner/call", call, out)
 }
 
-// End forwards the end of a program, with the errors of Call.
+// End asks the node at address to end a program; it returns the same errors as Call.
 func (c *Client) End(ctx context.Context, address, program string) (err error) {
 	_, _, err = c.post(ctx, address, "/inner/end", Query{Program: program}, nil)
 	return err
 }
 
-// Query forwards a question about a program, with the errors of Call.
+// Query asks the node at address about a program; it returns the same errors as Call.
 func (c *Client) Query(ctx context.Context, address string, q Query) (a Answer, err error) {
 	r, _, err := c.post(ctx, address, "/inner/query", q, nil)
 	if err != nil {
@@ -218,12 +220,12 @@
 	}
 	defer w.Body.Close()
 	if w.StatusCode != http.StatusOK {
-		return r, false, trace.ConnectionProblem(nil, "inner port answered %q", w.Status)
+		return r, false, trace.ConnectionProblem(nil, "inner port answered with status %s", w.Status)
 	}
 	return readFrames(w.Body, out)
 }
 
-// readFrames reads an answer up to its last frame.
+// readFrames reads an answer up to its last frame and passes the pieces to out, until out fails; out may be nil.
 func readFrames(body io.Reader, out hgowner.Sink) (r hgcall.Result, sent bool, err error) {
 	d := json.NewDecoder(body)
 	for {
--- a/internal/peer/hginner/doc.go
+++ b/internal/peer/hginner/doc.go
@@ -1,3 +1,3 @@
-// Package hginner is the protocol between the nodes of a cell: control messages over net/rpc and forwarded calls over HTTP.
-// Both demand the cell's shared key; neither encrypts.
+// Package hginner is the protocol between the nodes of a cell, served at each node's inner port: control messages over
+// net/rpc, and forwarded calls over HTTP. Both require the cell's shared key; neither is encrypted.
 package hginner
--- a/internal/peer/hginner/server.go
+++ b/internal/peer/hginner/server.go
@@ -20,58 +20,61 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// Node is what a node does for its peers.
+// Node handles the requests of other nodes of the cell.
 type Node interface {
-	// Beat takes a peer's heartbeat and answers with this node's.
+	// Beat processes a peer's heartbeat and returns this node's.
 	Beat(b Beat) Beat
-	// Preset returns the version that the node applies.
+	// Preset returns the version of the preset that the node applies.
 	Preset() PresetReply
-	// Suspect takes a suspect that an endpoint died under.
+	// Suspect records a request that was running when an endpoint died, or its clearing.
 	Suspect(s hgquarantine.Suspect)
-	// EnterTurn tells whether a copy of a request may run now.
+	// EnterTurn reports whether a copy of a request may run now.
 	EnterTurn(t Turn) (ok bool)
-	// LeaveTurn takes the end of a copy.
+	// LeaveTurn records that a copy of a request has ended.
 	LeaveTurn(t Turn)
-	// Nudge tells that shard rows have changed.
+	// Nudge makes the node read the shard rows, because they have changed.
 	Nudge()
 	// Serve runs a call of a shard that this node owns; the error is a *hgowner.NotOwner or a *hgcall.Refusal.
 	Serve(ctx context.Context, c hgcall.Call, out hgowner.Sink) (r hgcall.Result, err error)
-	// End ends a program of a shard that this node owns, with the same errors.
+	// End ends a program of a shard that this node owns; it returns the same errors as Serve.
 	End(ctx context.Context, program string) (err error)
-	// Query answers a question about a program of a shard that this node owns, with the same errors.
+	// Query returns the status or the history of a program of a shard that this node owns; it returns the same errors as Serve.
 	Query(q Query) (a Answer, err error)
 }
 
-// Query asks about a program.
+// Query asks for the status of a program, or with History for its conversation. It also names the program to end.
 type Query struct {
 	Program string `json:"program"`
 	History bool   `json:"history"`
 }
 
-// Answer is the answer to a Query.
+// Answer is the answer to a Query; it has one of the two fields.
 type Answer struct {
 	Status  *hgowner.ProgramStatus `json:"status,omitempty"`
 	History []hgcall.Message       `json:"history,omitempty"`
 }
 
-// Limits of the inner port.
+// Limits of the inner port, and the status line of an accepted control connection.
 const (
+	// maxRPCConns and maxControlCalls limit the control connections and the control messages in progress.
 	maxRPCConns     = 128
-	maxConcurrent   = 64
+	maxControlCalls = 64
+	// maxForwardBytes limits the body of a forwarded request.
 	maxForwardBytes = 32 << 20
-	connected       = "200 connected to hyssopgrade"
+	connectedStatus = "200 connected to hyssopgrade"
 )
 
-// errBusy refuses a control message when too many are in progress.
+// errBusy rejects a control message while maxControlCalls others are in progress. Its text is sent to the peer.
 var errBusy = trace.LimitExceeded("too many control messages in progress")
 
-// service is the net/rpc receiver.
+// service is the net/rpc receiver; its methods are called by peers as "Inner.Beat" and so on.
 type service struct {
 	node  Node
 	slots chan struct{}
 }
 
-func (s *service) guard(fn func()) (err error) {
+// withSlot runs fn unless too many control messages are in progress.
+func (s *service) withSlot(fn func()) (err error) {
 	select {
 	case s.slots <- struct{}{}:
 	default:
@@ -82,37 +85,37 @@
 	return nil
 }
 
-// Beat answers a heartbeat.
+// Beat processes a heartbeat and replies with this node's.
 func (s *service) Beat(b Beat, reply *Beat) (err error) {
-	return s.guard(func() { *reply = s.node.Beat(b) })
+	return s.withSlot(func() { *reply = s.node.Beat(b) })
 }
 
-// Preset returns the preset in force.
+// Preset replies with the version of the preset that the node applies.
 func (s *service) Preset(_ Empty, reply *PresetReply) (err error) {
-	return s.guard(func() { *reply = s.node.Preset() })
+	return s.withSlot(func() { *reply = s.node.Preset() })
 }
 
-// Suspect takes a suspect.
+// Suspect records a suspect request.
 func (s *service) Suspect(q hgquarantine.Suspect, _ *Empty) (err error) {
-	return s.guard(func() { s.node.Suspect(q) })
+	return s.withSlot(func() { s.node.Suspect(q) })
 }
 
-// Enter answers whether a copy of a request may run.
+// Enter replies whether a copy of a request may run now.
 func (s *service) Enter(t Turn, reply *TurnReply) (err error) {
-	return s.guard(func() { reply.OK = s.node.EnterTurn(t) })
+	return s.withSlot(func() { reply.OK = s.node.EnterTurn(t) })
 }
 
-// Leave takes the end of a copy.
+// Leave records that a copy of a request has ended.
 func (s *service) Leave(t Turn, _ *Empty) (err error) {
-	return s.guard(func() { s.node.LeaveTurn(t) })
+	return s.withSlot(func() { s.node.LeaveTurn(t) })
 }
 
-// Nudge tells that shard rows have changed.
+// Nudge makes the node read the shard rows.
 func (s *service) Nudge(_ Empty, _ *Empty) (err error) {
-	return s.guard(s.node.Nudge)
+	return s.withSlot(s.node.Nudge)
 }
 
-// Server serves a node's inner port.
+// Server is the HTTP handler of a node's inner port.
 type Server struct {
 	node  Node
 	key   hgkey.Key
@@ -124,20 +127,20 @@
 	conns map[net.Conn]bool
 }
 
-// NewServer returns the handler of a node's inner port.
+// NewServer returns the handler of a node's inner port; requests must carry the key.
 func NewServer(node Node, key string, log *slog.Logger) (s *Server, err error) {
 	s = &Server{
 		node: node, key: hgkey.NewKey(key), rpc: rpc.NewServer(), log: log,
 		slots: make(chan struct{}, maxRPCConns), conns: map[net.Conn]bool{},
 	}
-	err = s.rpc.RegisterName("Inner", &service{node: node, slots: make(chan struct{}, maxConcurrent)})
+	err = s.rpc.RegisterName("Inner", &service{node: node, slots: make(chan struct{}, maxControlCalls)})
 	return s, trace.Wrap(err)
 }
 
-// ServeHTTP serves the holders of the cell's key.
+// ServeHTTP serves requests that carry the cell's key and rejects all others.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !s.key.Allows(r.Header) {
-		s.log.Warn("inner request without the key", "remote", r.RemoteAddr, "path", r.URL.Path)
+		s.log.Warn("rejected a request to the inner port without the cell's key", "remote", r.RemoteAddr, "path", r.URL.Path)
 		http.Error(w, "want the cell's key", http.StatusUnauthorized)
 		return
 	}
@@ -155,6 +158,7 @@
 	}
 }
 
+// serveRPC turns the HTTP connection into a net/rpc connection and serves it until it closes.
 func (s *Server) serveRPC(w http.ResponseWriter) {
 	select {
 	case s.slots <- struct{}{}:
@@ -168,16 +172,17 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	s.track(conn, true)
-	defer s.track(conn, false)
+	s.trackConn(conn, true)
+	defer s.trackConn(conn, false)
 	_ = conn.SetDeadline(time.Time{})
-	if _, err := io.WriteString(conn, "HTTP/1.0 "+connected+"\n\n"); err != nil {
+	if _, err := io.WriteString(conn, "HTTP/1.0 "+connectedStatus+"\n\n"); err != nil {
 		return
 	}
 	s.rpc.ServeConn(conn)
 }
 
-func (s *Server) track(conn net.Conn, open bool) {
+// trackConn records an open control connection for Close, or closes it and removes the record.
+func (s *Server) trackConn(conn net.Conn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if open {
@@ -188,7 +193,7 @@
 	_ = conn.Close()
 }
 
-// Close closes the control connections.
+// Close closes the control connections, which the HTTP server no longer tracks.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,31 +202,31 @@
 	}
 }
 
-// frames is a Sink that writes frames to a peer.
-type frames struct {
+// frameWriter writes the answer to a forwarded request as JSON lines; it is a hgowner.Sink.
+type frameWriter struct {
 	w   http.ResponseWriter
 	enc *json.Encoder
 	ctl *http.ResponseController
 }
 
-func newFrames(w http.ResponseWriter) *frames {
+func newFrameWriter(w http.ResponseWriter) *frameWriter {
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	return &frames{w: w, enc: json.NewEncoder(w), ctl: http.NewResponseController(w)}
+	return &frameWriter{w: w, enc: json.NewEncoder(w), ctl: http.NewResponseController(w)}
 }
 
-// Piece sends one piece.
-func (f *frames) Piece(text string) (err error) {
+// Piece sends one piece of output at once.
+func (f *frameWriter) Piece(text string) (err error) {
 	if err := f.enc.Encode(Frame{Piece: text}); err != nil {
 		return err
 	}
 	return f.ctl.Flush()
 }
 
-// end sends the last frame.
-func (f *frames) end(r hgcall.Result, err error) {
-	var other *hgowner.NotOwner
+// finish sends the last frame: the result or the error.
+func (f *frameWriter) finish(r hgcall.Result, err error) {
+	var notOwner *hgowner.NotOwner
 	switch {
-	case errors.As(err, &other):
+	case errors.As(err, &notOwner):
 		_ = f.enc.Encode(Frame{NotOwner: true})
 	case err != nil:
 		_ = f.enc.Encode(Frame{Refusal: hgcall.AsRefusal(err)})
@@ -232,39 +237,40 @@
 
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	var c hgcall.Call
-	if !readJSON(w, r, &c) {
+	if !decodeRequest(w, r, &c) {
 		return
 	}
-	f := newFrames(w)
+	f := newFrameWriter(w)
 	var out hgowner.Sink
 	if r.Header.Get("X-Stream") != "" {
 		out = f
 	}
-	f.end(s.node.Serve(r.Context(), c, out))
+	f.finish(s.node.Serve(r.Context(), c, out))
 }
 
 func (s *Server) serveEnd(w http.ResponseWriter, r *http.Request) {
 	var q Query
-	if readJSON(w, r, &q) {
-		newFrames(w).end(hgcall.Result{State: hgcall.Done}, s.node.End(r.Context(), q.Program))
+	if decodeRequest(w, r, &q) {
+		newFrameWriter(w).finish(hgcall.Result{State: hgcall.Done}, s.node.End(r.Context(), q.Program))
 	}
 }
 
 func (s *Server) serveQuery(w http.ResponseWriter, r *http.Request) {
 	var q Query
-	if !readJSON(w, r, &q) {
+	if !decodeRequest(w, r, &q) {
 		return
 	}
 	a, err := s.node.Query(q)
 	if err != nil {
-		newFrames(w).end(hgcall.Result{}, err)
+		newFrameWriter(w).finish(hgcall.Result{}, err)
 		return
 	}
 	data, err := json.Marshal(a)
-	newFrames(w).end(hgcall.Result{State: hgcall.Done, Answer: data}, err)
+	newFrameWriter(w).finish(hgcall.Result{State: hgcall.Done, Answer: data}, err)
 }
 
-func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeRequest decodes the body into v; on failure it answers the request and returns false.
+func decodeRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxForwardBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
--- a/internal/peer/hginner/server_test.go
+++ b/internal/peer/hginner/server_test.go
@@ -19,7 +19,7 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// node is a Node that answers everything.
+// node is a Node with fixed answers.
 type node struct{}
 
 func (node) Beat(b Beat) Beat                  { b.ID = "answer to " + b.ID; return b }
@@ -76,10 +76,10 @@
 		t.Errorf("forwarded call (-want +got):\n%s", diff)
 	}
 	if _, ok := c.End(t.Context(), address, "p").(*hgowner.NotOwner); !ok {
-		t.Error("NotOwner did not come through")
+		t.Error("the forwarded end of a program did not return NotOwner")
 	}
 	if _, err := c.Query(t.Context(), address, Query{}); hgcall.AsRefusal(err).Field != "program" {
-		t.Errorf("refusal came through as %v", err)
+		t.Errorf("forwarded query: got error %v, want a refusal of field program", err)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestInnerPortSurvivesGarbage sends garbage with and without the key; the port still answers.
+// TestInnerPortSurvivesGarbage sends malformed requests with and without the key: the port must still answer heartbeats.
 func TestInnerPortSurvivesGarbage(t *testing.T) {
 	address := serve(t)
 	for _, text := range []string{
