--- a/internal/peer/hginner/client.go
+++ b/internal/peer/hginner/client.go
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	if w.Status != connectedStatus {
-		return nil, trace.AccessDenied("inner port refused the control connection: %s", w.Status)
+		return nil, trace.AccessDenied("inner port refused the control connection: status %q", w.Status)
 	}
 	return rpc.NewClient(conn), conn.SetDeadline(time.Time{})
 }
@@ -220,7 +220,7 @@
 	}
 	defer w.Body.Close()
 	if w.StatusCode != http.StatusOK {
-		return r, false, trace.ConnectionProblem(nil, "inner port answered with status %s", w.Status)
+		return r, false, trace.ConnectionProblem(nil, "inner port answered with status %q", w.Status)
 	}
 	return readFrames(w.Body, out)
 }
--- a/internal/peer/hgnode/cell.go
+++ b/internal/peer/hgnode/cell.go
@@ -15,44 +15,46 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// opTimeout bounds a periodic operation on the platform.
-const opTimeout = 3 * time.Second
+// platformTimeout is the timeout of one periodic task's operations on the platform.
+const platformTimeout = 3 * time.Second
 
-// register refreshes the node's registration, which a draining node lets go.
+// register writes the node's registration, with a raised counter by which the others see that it is refreshed.
+// A draining node no longer refreshes its registration.
 func (n *Node) register() {
 	n.mu.Lock()
 	if n.draining {
 		n.mu.Unlock()
 		return
 	}
-	n.beat++
+	n.refreshes++
 	m := n.self()
-	m.Beat = n.beat
+	m.Beat = n.refreshes
 	n.mu.Unlock()
 	data, err := hgmember.MemberCodec.Encode(m)
 	if err != nil {
-		n.log.Error("registration", "err", err)
+		n.log.Error("registration not encoded", "err", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, opTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, platformTimeout)
 	defer cancel()
 	if _, err := n.store.Commit(ctx, hgstore.Txn{Puts: []hgstore.Put{{Key: hgmember.Prefix + m.ID, Value: data}}}); err != nil {
-		n.log.Warn("registration failed", "err", err)
+		n.log.Warn("registration not written", "err", err)
 	}
 }
 
-// maxMembers bounds the registrations read at a time.
+// maxMembers is the largest number of registrations that a node reads.
 const maxMembers = 1000
 
-// poll reads the preset, the registrations and the shard rows.
+// poll reads the preset, the VM list, the registrations and, if needed, the shard rows. It divides the cell's limit on
+// commits per second by the number of live nodes.
 func (n *Node) poll() {
-	ctx, cancel := context.WithTimeout(n.ctx, opTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, platformTimeout)
 	defer cancel()
 	n.pollPreset(ctx)
-	n.readVMs(ctx)
+	n.readVMList(ctx)
 	rows, err := n.store.Scan(ctx, hgmember.Prefix, "", maxMembers)
 	if err != nil {
-		n.log.Warn("members not read", "err", err)
+		n.log.Warn("registrations not read", "err", err)
 		return
 	}
 	members := lo.FilterMap(rows, func(r hgstore.Row, _ int) (hgmember.Member, bool) {
@@ -62,10 +64,10 @@
 	n.mu.Lock()
 	n.view.Registered(members, n.now())
 	n.dropSilentSources()
-	sharing := len(n.view.Live(n.now())) + 1
+	liveNodes := len(n.view.Live(n.now())) + 1
 	n.mu.Unlock()
-	n.committer.SetRate(float64(n.cfg.Platform.CommitsPerSecond) / float64(sharing))
-	if !n.rowsDue() {
+	n.committer.SetRate(float64(n.cfg.Platform.CommitsPerSecond) / float64(liveNodes))
+	if !n.shouldReadRows() {
 		return
 	}
 	if err := n.readRows(ctx); err != nil {
@@ -73,11 +75,12 @@
 	}
 }
 
-// rowsEvery is the number of polls after which the shard rows are read in any case.
-const rowsEvery = 5
+// pollsPerRowsRead is the number of polls after which the shard rows are read even if heartbeats tell all owners.
+const pollsPerRowsRead = 5
 
-// rowsDue tells whether the shard rows are to be read: heartbeats tell who owns what while all members are heard.
-func (n *Node) rowsDue() bool {
+// shouldReadRows reports whether this poll must read the shard rows. Most polls need not: while all members are live, none
+// is draining and every shard has an owner, heartbeats tell who owns which shard.
+func (n *Node) shouldReadRows() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.polls++
@@ -86,10 +89,10 @@
 	for s := range uint32(n.cfg.Node.Shards) {
 		settled = settled && n.owners[s].id != ""
 	}
-	return !settled || n.polls%rowsEvery == 0
+	return !settled || n.polls%pollsPerRowsRead == 0
 }
 
-// readRows reads the shard rows and learns the owners.
+// readRows reads the shard rows, keeps them for the planner and updates the owners.
 func (n *Node) readRows(ctx context.Context) (err error) {
 	rows, err := hgjournal.ReadRows(ctx, n.store, uint32(n.cfg.Node.Shards))
 	if err != nil {
@@ -104,8 +107,8 @@
 	return nil
 }
 
-// learnOwner keeps the owner with the highest epoch, and gives the shard up if that is newer than this node's;
-// the caller holds the lock.
+// learnOwner records a shard's owner unless an owner with a higher epoch is known, and stops serving the shard here if
+// the epoch is newer than that under which this node serves it. n.mu must be held.
 func (n *Node) learnOwner(shard uint32, id string, epoch uint64) {
 	if shard >= uint32(n.cfg.Node.Shards) {
 		return
@@ -116,63 +119,63 @@
 	}
 }
 
-// pollPreset reads the preset in force.
+// pollPreset reads the preset in force from the store and applies it if it is newer.
 func (n *Node) pollPreset(ctx context.Context) {
-	asked := n.now()
+	readAt := n.now()
 	n.mu.Lock()
-	first := n.gate.Applied()
+	initial := n.gate.Applied()
 	n.mu.Unlock()
-	v, _, err := hgpreset.Load(ctx, n.store, hgpreset.Version{Preset: first.Preset, By: first.By})
+	v, _, err := hgpreset.Load(ctx, n.store, hgpreset.Version{Preset: initial.Preset, By: initial.By})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
 		n.gate.StoreFailed()
 		return
 	}
-	if n.gate.StoreRead(v, asked) {
+	if n.gate.StoreRead(v, readAt) {
 		n.applyPreset(v)
 	}
 	n.gate.Members(lo.Map(n.view.Peers(), func(m hgmember.Member, _ int) string { return m.ID }))
 }
 
-// applyPreset changes the weights and limits; the caller holds the lock.
+// applyPreset passes the weights and limits of a preset to the scheduler and the shards' owner. n.mu must be held.
 func (n *Node) applyPreset(v hgpreset.Version) {
 	n.log.Info("preset applied", "preset", v.Preset.Name, "version", v.Number, "by", v.By)
 	n.sched.SetPreset(v.Preset)
 	n.owner.SetPreset(v.Preset)
 }
 
-// message returns the node's heartbeat to a peer; the caller holds the lock.
-func (n *Node) message(to string) hginner.Beat {
+// heartbeat returns the heartbeat for a peer. n.mu must be held.
+func (n *Node) heartbeat(to string) hginner.Beat {
 	now := n.now()
 	return hginner.Beat{
 		Heartbeat: hgmember.Heartbeat{ID: n.cfg.Node.ID, Run: n.run, Draining: n.draining, Silent: n.view.Silent(now)},
 		Preset:    hgpreset.Peer{Number: n.gate.Applied().Number, Age: n.gate.Age(now), StoreFailing: n.gate.StoreFailing()},
 		Stamp:     now,
-		Echo:      n.stamps[to].stamp,
-		EchoRun:   n.stamps[to].run,
-		Loads:     hginner.NewLoads(n.names, n.sched.InFlight(), n.held),
-		Leaving:   lo.Keys(lo.Assign(n.leaving[sourceReports], n.leaving[sourceList])),
+		Echo:      n.peerStamps[to].stamp,
+		EchoRun:   n.peerStamps[to].run,
+		Loads:     hginner.NewLoads(n.endpointIDs, n.sched.InFlight(), n.heldTokens),
+		Leaving:   lo.Keys(lo.Assign(n.leavingBySource[sourceReports], n.leavingBySource[sourceList])),
 		Shards:    n.owner.Epochs(),
 		Suspects:  n.owner.Suspects(),
 	}
 }
 
-// stamped is the last stamp of a peer's run.
-type stamped struct {
+// peerStamp is the last hginner.Beat.Stamp of a peer, with the run that sent it.
+type peerStamp struct {
 	run   string
 	stamp time.Duration
 }
 
-// take learns from a peer's heartbeat and tells whether the peer applies a newer preset; the caller holds the lock.
-func (n *Node) take(b hginner.Beat) (behind bool) {
+// applyHeartbeat processes a peer's heartbeat and reports whether the peer applies a newer preset. n.mu must be held.
+func (n *Node) applyHeartbeat(b hginner.Beat) (behind bool) {
 	n.view.Heard(b.Heartbeat, n.now())
-	n.stamps[b.ID] = stamped{run: b.Run, stamp: b.Stamp}
+	n.peerStamps[b.ID] = peerStamp{run: b.Run, stamp: b.Stamp}
 	for s, epoch := range b.Shards {
 		n.learnOwner(s, b.ID, epoch)
 	}
 	n.setLeaving(b.ID, lo.SliceToMap(b.Leaving, func(id string) (string, bool) { return id, true }))
-	if calls, held, ok := b.Loads.Maps(n.names); ok {
+	if calls, held, ok := b.Loads.Maps(n.endpointIDs); ok {
 		n.sched.PeerLoads(b.ID, calls, held)
 	}
 	n.owner.Merge(b.Suspects)
@@ -182,46 +185,48 @@
 	return n.gate.PeerSaid(b.ID, b.Preset, b.Echo)
 }
 
-// beatAll exchanges heartbeats with the peers of greater names, each at most once at a time; the others ask this node.
-func (n *Node) beatAll() {
+// exchangeHeartbeats starts one exchange with each peer whose name sorts after this node's and that has none in flight; the
+// other peers start theirs with this node. It also updates the tokens that this node's programs hold.
+func (n *Node) exchangeHeartbeats() {
 	held := n.owner.Demand()
 	n.sched.SetHeld(held)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held = held
+	n.heldTokens = held
 	for _, m := range n.view.Peers() {
-		if n.beating[m.ID] || m.ID < n.cfg.Node.ID {
+		if n.heartbeatInFlight[m.ID] || m.ID < n.cfg.Node.ID {
 			continue
 		}
-		n.beating[m.ID] = true
-		b := n.message(m.ID)
+		n.heartbeatInFlight[m.ID] = true
+		b := n.heartbeat(m.ID)
 		n.background(func() {
-			n.beatOne(m, b)
+			n.exchangeHeartbeatWith(m, b)
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.beating[m.ID] = false
+			n.heartbeatInFlight[m.ID] = false
 		})
 	}
 }
 
-// announce exchanges heartbeats with all live peers at once and waits for their answers.
+// announce exchanges heartbeats with all live peers at once, without waiting for the next period, and waits for the replies.
 func (n *Node) announce() {
 	var wg sync.WaitGroup
 	n.mu.Lock()
 	for _, m := range n.view.Live(n.now()) {
-		b := n.message(m.ID)
-		wg.Go(func() { n.beatOne(m, b) })
+		b := n.heartbeat(m.ID)
+		wg.Go(func() { n.exchangeHeartbeatWith(m, b) })
 	}
 	n.mu.Unlock()
 	wg.Wait()
 }
 
-func (n *Node) beatOne(m hgmember.Member, b hginner.Beat) {
+// exchangeHeartbeatWith sends a heartbeat to a peer and processes the reply. It fetches the preset if the peer's is newer.
+func (n *Node) exchangeHeartbeatWith(m hgmember.Member, b hginner.Beat) {
 	reply, err := n.client.Beat(m.Inner, b)
 	n.mu.Lock()
 	behind := false
 	if err == nil && reply.ID == m.ID {
-		behind = n.take(reply)
+		behind = n.applyHeartbeat(reply)
 	}
 	n.mu.Unlock()
 	if err != nil {
@@ -232,21 +237,21 @@
 	}
 }
 
-// fetchPreset takes a newer preset from a peer.
+// fetchPreset reads the preset that a peer applies and applies it if it is newer.
 func (n *Node) fetchPreset(address string) {
-	asked := n.now()
+	readAt := n.now()
 	reply, err := n.client.Preset(address)
 	if err != nil {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.gate.Adopt(reply.Version, asked-reply.Age) {
+	if n.gate.Adopt(reply.Version, readAt-reply.Age) {
 		n.applyPreset(reply.Version)
 	}
 }
 
-// plan takes and releases shards. A call while another one plans makes that one plan again.
+// plan claims and releases shards. If another goroutine is planning, that goroutine plans once more instead.
 func (n *Node) plan() {
 	n.planAgain.Store(true)
 	for n.planAgain.Load() && n.planMu.TryLock() {
@@ -256,45 +261,47 @@
 	}
 }
 
+// planOnce claims the shards that this node should own, after another look at their rows, and releases idle ones that it
+// should not own.
 func (n *Node) planOnce() {
 	ctx, cancel := context.WithTimeout(n.ctx, planTimeout)
 	defer cancel()
-	if len(n.planned().Claim) > 0 {
+	if len(n.currentPlan().Claim) > 0 {
 		if err := n.readRows(ctx); err != nil {
 			return
 		}
-		if claim := n.planned().Claim; len(claim) > 0 {
+		if claim := n.currentPlan().Claim; len(claim) > 0 {
 			if err := n.owner.Take(ctx, claim); err != nil {
-				n.log.Warn("shards not taken", "err", err)
+				n.log.Warn("shards not claimed", "err", err)
 			}
 			n.background(n.announce)
 		}
 	}
-	n.release(ctx, n.planned().Release, true)
+	n.release(ctx, n.currentPlan().Release, true)
 }
 
-// planTimeout bounds the taking of shards.
+// planTimeout is the timeout of claiming, recovering and releasing shards in one plan.
 const planTimeout = 20 * time.Second
 
-func (n *Node) planned() hgshard.Plan {
+func (n *Node) currentPlan() hgshard.Plan {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.planner.Plan(n.rows, n.view, n.owner.Held, n.draining, n.now())
 }
 
-// release gives shards up and tells the live peers.
+// release releases shards and notifies the live peers. With idle, it leaves out shards that run calls.
 func (n *Node) release(ctx context.Context, shards []uint32, idle bool) {
 	released, err := n.owner.Release(ctx, shards, idle)
 	if err != nil {
 		n.log.Warn("shards not released", "shards", len(shards), "err", err)
 	}
 	if len(released) > 0 {
-		n.nudgeAll()
+		n.notifyRowsChanged()
 	}
 }
 
-// nudgeAll tells the live peers that shard rows have changed.
-func (n *Node) nudgeAll() {
+// notifyRowsChanged makes the live peers read the shard rows, without waiting for the replies.
+func (n *Node) notifyRowsChanged() {
 	n.mu.Lock()
 	live := n.view.Live(n.now())
 	n.mu.Unlock()
@@ -303,8 +310,9 @@
 	}
 }
 
-// collect deletes batch rows that nothing refers to, on the node that is preferred for it.
-func (n *Node) collect() {
+// collectGarbage deletes batch rows that no shard row refers to. Only one node of the cell does so: the first by name of
+// those that may own shards.
+func (n *Node) collectGarbage() {
 	n.mu.Lock()
 	takers := n.view.Takers(n.draining, n.now())
 	n.mu.Unlock()
@@ -312,17 +320,17 @@
 	if first.ID != n.cfg.Node.ID {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, opTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, platformTimeout)
 	defer cancel()
-	if _, err := hgjournal.CollectGarbage(ctx, n.store, uint32(n.cfg.Node.Shards), collectRows); err != nil {
-		n.log.Warn("batch rows not collected", "err", err)
+	if _, err := hgjournal.CollectGarbage(ctx, n.store, uint32(n.cfg.Node.Shards), collectScanRows); err != nil {
+		n.log.Warn("unreferenced batch rows not deleted", "err", err)
 	}
 }
 
-// collectRows is the number of batch rows looked at in one collection.
-const collectRows = 2000
+// collectScanRows is the number of batch rows that one run of collectGarbage looks at.
+const collectScanRows = 2000
 
-// removeRegistration deletes the node's registration.
+// removeRegistration deletes the node's registration row.
 func (n *Node) removeRegistration(ctx context.Context) (err error) {
 	_, err = n.store.Commit(ctx, hgstore.Txn{Deletes: []string{hgmember.Prefix + n.cfg.Node.ID}})
 	return err
--- a/internal/peer/hgnode/endpoint.go
+++ b/internal/peer/hgnode/endpoint.go
@@ -13,24 +13,25 @@
 	"hyssopgrade/internal/operate/hgconfig"
 )
 
-// watchTimeout bounds one load report.
-const watchTimeout = 400 * time.Millisecond
+// loadReportTimeout is the timeout of reading the load reports of all watched endpoints.
+const loadReportTimeout = 400 * time.Millisecond
 
-// Sources of the knowledge that an endpoint leaves, beside the peers' names.
+// Keys of Node.leavingBySource for what this node itself has read; the other keys are names of peers.
 const (
 	sourceReports = "/reports"
 	sourceList    = "/list"
 )
 
-// watchers is the number of nodes that read one endpoint's load report, or the VM list; the others hear of it by heartbeat.
-const watchers = 2
+// watchersPerKey is the number of nodes that read one endpoint's load report, or the VM list. The other nodes learn the
+// result from their heartbeats.
+const watchersPerKey = 2
 
-// watchEndpoints reads the load reports of this node's share of the endpoints.
+// watchEndpoints reads the load reports of the endpoints that this node watches and records which are draining.
 func (n *Node) watchEndpoints() {
-	ctx, cancel := context.WithTimeout(n.ctx, watchTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, loadReportTimeout)
 	defer cancel()
 	n.mu.Lock()
-	mine := n.watched()
+	mine := n.watchedEndpoints()
 	n.mu.Unlock()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -50,29 +51,30 @@
 	n.setLeaving(sourceReports, draining)
 }
 
-// watched returns the endpoints whose reports this node reads; the caller holds the lock.
-func (n *Node) watched() []string {
+// watchedEndpoints returns the endpoints whose load reports this node reads. n.mu must be held.
+func (n *Node) watchedEndpoints() []string {
 	takers := n.view.Takers(n.draining, n.now())
 	return lo.FilterMap(n.cfg.Endpoint, func(e hgconfig.Endpoint, _ int) (string, bool) {
-		return e.ID, n.chosen(e.ID, takers)
+		return e.ID, n.isWatcher(e.ID, takers)
 	})
 }
 
-// chosen tells whether this node is one of the watchers that rendezvous hashing gives the key.
-func (n *Node) chosen(key string, takers []hgmember.Member) bool {
-	first := hgshard.Ranked(key, takers, watchers)
+// isWatcher reports whether rendezvous hashing over the takers makes this node a watcher of the key.
+func (n *Node) isWatcher(key string, takers []hgmember.Member) bool {
+	first := hgshard.Ranked(key, takers, watchersPerKey)
 	return lo.ContainsBy(first, func(m hgmember.Member) bool { return m.ID == n.cfg.Node.ID })
 }
 
-// listKey is the key by which the nodes that read the VM list are chosen.
-const listKey = "vms"
+// vmListKey is the key whose watchers read the VM list.
+const vmListKey = "vms"
 
-// readVMs learns which endpoints the platform lists as leaving, if this node is one that reads the list for the cell.
-func (n *Node) readVMs(ctx context.Context) {
+// readVMList reads the VM list and records which endpoints the platform lists as leaving. A node that is no watcher of the
+// list drops its earlier result instead.
+func (n *Node) readVMList(ctx context.Context) {
 	n.mu.Lock()
-	mine := n.chosen(listKey, n.view.Takers(n.draining, n.now()))
+	mine := n.isWatcher(vmListKey, n.view.Takers(n.draining, n.now()))
 	if !mine {
-		delete(n.leaving, sourceList)
+		delete(n.leavingBySource, sourceList)
 	}
 	n.mu.Unlock()
 	if !mine {
@@ -89,33 +91,34 @@
 	n.setLeaving(sourceList, lo.SliceToMap(ids, func(id string) (string, bool) { return id, true }))
 }
 
-// dropSilentSources forgets what peers that are no longer heard said; the caller holds the lock.
+// dropSilentSources discards what peers reported that are no longer live. n.mu must be held.
 func (n *Node) dropSilentSources() {
-	for source := range n.leaving {
-		if source != sourceReports && source != sourceList && !n.hears(source) {
+	for source := range n.leavingBySource {
+		if source != sourceReports && source != sourceList && !n.isLive(source) {
 			n.setLeaving(source, nil)
-			delete(n.leaving, source)
+			delete(n.leavingBySource, source)
 		}
 	}
 }
 
-// setLeaving replaces what one source says; an endpoint leaves while any source says so. The caller holds the lock.
+// setLeaving replaces the endpoints that one source reports as leaving; an endpoint is leaving while any source reports it.
+// n.mu must be held.
 func (n *Node) setLeaving(source string, ids map[string]bool) {
-	n.leaving[source] = ids
+	n.leavingBySource[source] = ids
 	for _, e := range n.cfg.Endpoint {
-		leaving := lo.SomeBy(lo.Values(n.leaving), func(ids map[string]bool) bool { return ids[e.ID] })
-		if leaving == n.left[e.ID] {
+		leaving := lo.SomeBy(lo.Values(n.leavingBySource), func(ids map[string]bool) bool { return ids[e.ID] })
+		if leaving == n.leavingEndpoints[e.ID] {
 			continue
 		}
-		n.left[e.ID] = leaving
-		n.log.Info("endpoint leaving", "endpoint", e.ID, "leaving", leaving, "source", source)
+		n.leavingEndpoints[e.ID] = leaving
+		n.log.Info("endpoint's leaving state changed", "endpoint", e.ID, "leaving", leaving, "source", source)
 		n.sched.SetLeaving(e.ID, leaving)
 	}
 }
 
-// sweep releases engine memory that belongs to no live program.
+// sweep releases memory on the engines that belongs to no live program.
 func (n *Node) sweep() {
-	ctx, cancel := context.WithTimeout(n.ctx, opTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, platformTimeout)
 	defer cancel()
 	for _, e := range n.cfg.Endpoint {
 		if e.Kind != hgconfig.Engine {
--- a/internal/peer/hgnode/node.go
+++ b/internal/peer/hgnode/node.go
@@ -31,13 +31,13 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// shardOwner is who owns a shard, as last heard.
+// shardOwner is the owner of a shard with the highest epoch that is known here.
 type shardOwner struct {
 	id    string
 	epoch uint64
 }
 
-// Node is one node of a cell.
+// Node is one node of a cell: it serves the calls of its own shards and forwards the others to their owners.
 type Node struct {
 	cfg       hgconfig.Config
 	run       string
@@ -57,37 +57,39 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// startMu keeps what runs beside from starting while Close waits for it.
-	startMu sync.Mutex
-	public  *http.Server
-	peers   *http.Server
-	planMu  sync.Mutex
-	// planAgain says that something has changed since the last plan began.
+	// backgroundMu prevents background from adding to wg once Close has begun to wait for it.
+	backgroundMu sync.Mutex
+	public       *http.Server
+	peers        *http.Server
+	planMu       sync.Mutex
+	// planAgain is set by every call of plan, so that a plan under way is followed by another.
 	planAgain atomic.Bool
 
-	mu      sync.Mutex
-	view    *hgmember.View
-	gate    *hgpreset.Gate
-	planner *hgshard.Planner
-	rows    []hgjournal.SeenRow
-	owners  map[uint32]shardOwner
-	beating map[string]bool
-	// stamps are the peers' last stamps, which go back to them.
-	stamps map[string]stamped
-	// names are the endpoints' names in order.
-	names []string
-	// leaving are the endpoints that each source knows to be leaving; left are those of any source.
-	leaving map[string]map[string]bool
-	left    map[string]bool
-	// held are the tokens of this node's programs, by endpoint, at the last heartbeat.
-	held     map[string]int
-	draining bool
-	beat     uint64
-	// polls counts the reads of the platform.
+	mu                sync.Mutex
+	view              *hgmember.View
+	gate              *hgpreset.Gate
+	planner           *hgshard.Planner
+	rows              []hgjournal.SeenRow
+	owners            map[uint32]shardOwner
+	heartbeatInFlight map[string]bool
+	// peerStamps holds each peer's last stamp, which this node's heartbeats send back to the peer.
+	peerStamps map[string]peerStamp
+	// endpointIDs are the identifiers of all endpoints, sorted.
+	endpointIDs []string
+	// leavingBySource holds the endpoints that each source reports as leaving; leavingEndpoints says for each endpoint
+	// whether any source does.
+	leavingBySource  map[string]map[string]bool
+	leavingEndpoints map[string]bool
+	// heldTokens are the tokens of this node's programs at the last heartbeat, by endpoint.
+	heldTokens map[string]int
+	draining   bool
+	// refreshes counts the writes of the registration.
+	refreshes uint64
+	// polls counts the calls of poll that have read the registrations.
 	polls uint64
 }
 
-// NewNode returns a node that the injector's services make up; Start starts it.
+// NewNode returns a node composed of the injector's services; Start starts it.
 func NewNode(i do.Injector) (n *Node, err error) {
 	defer func() { err = trace.Wrap(err, "make node") }()
 	cfg := do.MustInvoke[hgconfig.Config](i)
@@ -100,13 +102,13 @@
 		sched:     do.MustInvoke[*hgsched.Scheduler](i),
 		client:    do.MustInvoke[*hginner.Client](i),
 		metrics:   do.MustInvoke[*hgmetric.Metrics](i),
-		owners:    map[uint32]shardOwner{}, beating: map[string]bool{}, stamps: map[string]stamped{},
-		leaving: map[string]map[string]bool{}, left: map[string]bool{},
+		owners:    map[uint32]shardOwner{}, heartbeatInFlight: map[string]bool{}, peerStamps: map[string]peerStamp{},
+		leavingBySource: map[string]map[string]bool{}, leavingEndpoints: map[string]bool{},
 	}
 	for _, e := range cfg.Endpoint {
-		n.names = append(n.names, e.ID)
+		n.endpointIDs = append(n.endpointIDs, e.ID)
 	}
-	sort.Strings(n.names)
+	sort.Strings(n.endpointIDs)
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	first := do.MustInvoke[hgpreset.Version](i)
 	l := cfg.Limits
@@ -115,7 +117,7 @@
 	})
 	n.turns = newTurns(n.timer)
 	n.gate = hgpreset.NewGate(first, hgconfig.MS(l.PresetBoundMs))
-	n.planner = hgshard.NewPlanner(settleBeats * hgconfig.MS(l.HeartbeatMs))
+	n.planner = hgshard.NewPlanner(settleHeartbeats * hgconfig.MS(l.HeartbeatMs))
 	n.owner = hgowner.NewOwner(n.ownerConfig(first))
 	n.committer = hgjournal.NewCommitter(n.store, n.run, n.owner,
 		hgjournal.WithRate(float64(cfg.Platform.CommitsPerSecond)),
@@ -126,33 +128,36 @@
 		MaxBody: int64(l.MaxBodyBytes), Metrics: n.metrics.Handler(), Version: do.MustInvoke[Release](i).Version, OperatorKey: keys.Operator,
 	})
 	if keys.Operator == "" {
-		n.log.Warn("operators' routes are open to all callers: the settings name no operators' key")
+		n.log.Warn("operators' routes are open to all callers, because the settings name no operators' key")
 	}
-	n.inner, err = hginner.NewServer((*peerSide)(n), keys.Cell, n.log)
+	n.inner, err = hginner.NewServer((*peerHandler)(n), keys.Cell, n.log)
 	return n, err
 }
 
-// newRun returns a name for a run of the node that was never used before.
+// newRun returns a name for a run of the node; its random part makes it unique.
 func newRun(id string) string {
 	u := uuid.New()
-	return id + "-" + hex.EncodeToString(u[:runBytes])
+	return id + "-" + hex.EncodeToString(u[:runSuffixBytes])
 }
 
-// runBytes is the number of random bytes in the name of a run.
-const runBytes = 6
+// runSuffixBytes is the number of random bytes in the name of a run.
+const runSuffixBytes = 6
 
-// settleBeats is the number of heartbeats for which a shard's preferred owner must stand before the shard moves.
-const settleBeats = 6
+// settleHeartbeats is the number of heartbeat periods for which another node must be a shard's preferred owner before this
+// node releases the shard.
+const settleHeartbeats = 6
 
-// goneFactor is how many times the stale time a registration is kept.
+// goneFactor is the time without a refresh after which a registration is forgotten, in multiples of the stale time.
 const goneFactor = 20
 
+// self returns this node's registration.
 func (n *Node) self() hgmember.Member {
 	return hgmember.Member{
 		ID: n.cfg.Node.ID, Run: n.run, Domain: n.cfg.Node.Domain, Public: n.cfg.Node.Public, Inner: n.cfg.Node.Inner,
 	}
 }
 
+// ownerConfig returns the settings and services of the shards' owner, which starts with the preset first.
 func (n *Node) ownerConfig(first hgpreset.Version) hgowner.Config {
 	l := n.cfg.Limits
 	targets := map[string][]string{}
@@ -168,7 +173,7 @@
 			DispatchWindow: hgconfig.MS(l.DispatchWindowMs), Hold: hgconfig.MS(l.HoldMs),
 			CommitWait: hgconfig.MS(l.CommitWaitMs), Retain: hgconfig.MS(l.RetainMs),
 		},
-		Store: n.store, Scheduler: n.sched, Endpoints: n.endpoints, Targets: targets, Fencing: fencing, Sharer: (*peerSide)(n), Turns: (*peerSide)(n),
+		Store: n.store, Scheduler: n.sched, Endpoints: n.endpoints, Targets: targets, Fencing: fencing, Sharer: (*peerHandler)(n), Turns: (*peerHandler)(n),
 		Dead: func(id, run string) bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -178,7 +183,7 @@
 	}
 }
 
-// Start listens and begins all work.
+// Start opens the public and the inner port, and starts the servers, the committer and the periodic tasks.
 func (n *Node) Start() (err error) {
 	defer func() { err = trace.Wrap(err, "start node %q", n.cfg.Node.ID) }()
 	public, err := net.Listen("tcp", n.cfg.Node.Public)
@@ -200,13 +205,14 @@
 	return nil
 }
 
-// Bounds of reading a caller's request.
 const (
+	// headerTimeout is the timeout of reading a request's header, at the public and the inner port.
 	headerTimeout = 5 * time.Second
-	bodyTimeout   = 30 * time.Second
+	// bodyTimeout is the timeout of reading a whole request at the public port.
+	bodyTimeout = 30 * time.Second
 )
 
-// schedule subscribes the periodic work to the timer service.
+// schedule registers the periodic tasks with the timer service, and registers the node and polls once at once.
 func (n *Node) schedule() {
 	l := n.cfg.Limits
 	poll := hgconfig.MS(l.PollMs)
@@ -214,8 +220,8 @@
 	n.wg.Go(n.poll)
 	n.timer.Every(hgconfig.MS(l.StaleMs)/3, func(time.Duration) { n.register() })
 	n.timer.Every(poll, func(time.Duration) { n.poll() })
-	n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.beatAll() })
-	n.timer.After(startBeats*hgconfig.MS(l.HeartbeatMs), func(time.Duration) {
+	n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.exchangeHeartbeats() })
+	n.timer.After(startupHeartbeats*hgconfig.MS(l.HeartbeatMs), func(time.Duration) {
 		n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.plan() })
 	})
 	n.timer.Every(hgconfig.MS(l.SweepMs), func(time.Duration) {
@@ -223,22 +229,22 @@
 		n.sweep()
 	})
 	n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.watchEndpoints() })
-	n.timer.Every(collectEvery, func(time.Duration) { n.collect() })
+	n.timer.Every(collectInterval, func(time.Duration) { n.collectGarbage() })
 	n.timer.Every(time.Second, func(time.Duration) {
 		n.turns.tick()
 		n.report()
 	})
 }
 
-// startBeats is the number of heartbeats in which a new node finds the others before it takes shards.
-const startBeats = 3
+// startupHeartbeats is the number of heartbeat periods that a new node waits before it claims shards, to find its peers.
+const startupHeartbeats = 3
 
-// collectEvery is the period of the collection of batch rows, which one node of the cell does.
-const collectEvery = 30 * time.Second
+// collectInterval is the period of collectGarbage.
+const collectInterval = 30 * time.Second
 
-// Close stops the node at once; calls in progress are cut.
+// Close stops the node at once and cuts the calls in progress; Drain first to let them end.
 func (n *Node) Close() {
-	n.endBackground()
+	n.stopBackground()
 	n.timer.Close()
 	_ = n.public.Close()
 	_ = n.peers.Close()
@@ -249,27 +255,27 @@
 	n.wg.Wait()
 }
 
-// background runs something beside until the node closes; nothing is started from then on, as a message of a peer may
-// still come while Close waits.
+// background runs a function in a goroutine that Close waits for. It does nothing once the node closes: a peer's message may
+// still arrive while Close waits.
 func (n *Node) background(run func()) {
-	n.startMu.Lock()
-	defer n.startMu.Unlock()
+	n.backgroundMu.Lock()
+	defer n.backgroundMu.Unlock()
 	if n.ctx.Err() == nil {
 		n.wg.Go(run)
 	}
 }
 
-// endBackground ends what runs beside, and lets nothing start any more.
-func (n *Node) endBackground() {
-	n.startMu.Lock()
-	defer n.startMu.Unlock()
+// stopBackground cancels the node's context, and keeps background from starting anything from then on.
+func (n *Node) stopBackground() {
+	n.backgroundMu.Lock()
+	defer n.backgroundMu.Unlock()
 	n.cancel()
 }
 
-// now returns the node's monotonic time.
+// now returns the node's monotonic time, which starts with its timer service.
 func (n *Node) now() time.Duration { return n.timer.Now() }
 
-// report updates the gauges.
+// report updates the gauges of the metrics.
 func (n *Node) report() {
 	n.metrics.Set("running_calls", float64(n.owner.Running()))
 	n.metrics.Set("waiting_calls", float64(n.sched.Waiting()))
@@ -280,8 +286,8 @@
 	n.metrics.Set("preset_version", float64(n.gate.Applied().Number))
 	n.metrics.Set("preset_unconfirmed_seconds", n.gate.Age(n.now()).Seconds())
 	n.metrics.Set("live_peers", float64(len(n.view.Live(n.now()))))
-	n.metrics.Set("leaving_endpoints", float64(lo.Count(lo.Values(n.left), true)))
+	n.metrics.Set("leaving_endpoints", float64(lo.Count(lo.Values(n.leavingEndpoints), true)))
 }
 
-// String names the node.
+// String returns the word "node" and the node's name.
 func (n *Node) String() string { return "node " + n.cfg.Node.ID }
--- a/internal/peer/hgnode/node_test.go
+++ b/internal/peer/hgnode/node_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Nothing starts beside a node from its end on, also when messages of peers come meanwhile, and what started has ended then.
+// TestNothingStartsAfterTheEnd guards against goroutines that outlive a node: peers' messages that arrive while the node
+// closes must start nothing, and what they started before must have ended when the node has closed.
 func TestNothingStartsAfterTheEnd(t *testing.T) {
 	for range 200 {
 		n := &Node{}
@@ -25,14 +26,14 @@
 				}
 			})
 		}
-		n.endBackground()
+		n.stopBackground()
 		n.wg.Wait()
 		if left := running.Load(); left != 0 {
-			t.Fatalf("%d still run after the end", left)
+			t.Fatalf("%d background functions still run after the node has closed", left)
 		}
 		messages.Wait()
 		if left := running.Load(); left != 0 {
-			t.Fatalf("%d started after the end", left)
+			t.Fatalf("%d background functions started after the node has closed", left)
 		}
 	}
 }
--- a/internal/peer/hgnode/operate.go
+++ b/internal/peer/hgnode/operate.go
@@ -18,7 +18,8 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-// Locate names addresses to use for a program: its owner, then the nodes of this node's failure domain, then others.
+// Locate returns the public addresses to use for a program, best first: its owner, the nodes of this node's failure domain,
+// then the other nodes. Draining nodes are left out.
 func (n *Node) Locate(program string) hgfront.Location {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// members describes the cell; the caller holds the lock.
+// members returns the status of this node and of all registered peers. n.mu must be held.
 func (n *Node) members() []hgfront.MemberStatus {
 	now := n.now()
 	live := lo.SliceToMap(n.view.Live(now), func(m hgmember.Member) (string, bool) { return m.ID, true })
@@ -61,7 +62,7 @@
 	return list
 }
 
-// Overview describes the node and its cell.
+// Overview returns the status of the node, its shards and endpoints, and the cell's members.
 func (n *Node) Overview() hgfront.Overview {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,11 +74,12 @@
 	}
 }
 
-// Presets describes the presets; while the store is out of reach only the shipped ones are named.
+// Presets returns the presets' names and which preset is in force. While the store is out of reach, the names are those of
+// the shipped presets only.
 func (n *Node) Presets(ctx context.Context) hgfront.PresetStatus {
 	defined, err := hgpreset.Defined(ctx, n.store)
 	if err != nil {
-		n.log.Warn("created presets not read", "err", err)
+		n.log.Warn("operators' presets not read", "err", err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,10 +88,10 @@
 	}
 }
 
-// chooseTimeout bounds the choice of a preset.
-const chooseTimeout = 10 * time.Second
+// usePresetTimeout is the timeout of putting a preset in force.
+const usePresetTimeout = 10 * time.Second
 
-// CreatePreset stores a preset.
+// CreatePreset stores a preset that an operator has defined; the error is a *hgcall.Refusal.
 func (n *Node) CreatePreset(ctx context.Context, p hgpreset.Preset) (err error) {
 	err = hgpreset.Create(ctx, n.store, p)
 	if trace.IsBadParameter(err) {
@@ -101,9 +103,10 @@
 	return nil
 }
 
-// UsePreset puts a preset in force.
+// UsePreset puts a preset in force for the cell and announces it to the live peers. The error is a *hgfront.PresetConflict if
+// another choice came first, else a *hgcall.Refusal.
 func (n *Node) UsePreset(ctx context.Context, name, by string) (v hgpreset.Version, err error) {
-	ctx, cancel := context.WithTimeout(ctx, chooseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, usePresetTimeout)
 	defer cancel()
 	defined, err := hgpreset.Defined(ctx, n.store)
 	if err != nil {
@@ -114,12 +117,12 @@
 		return v, hgcall.Invalid("name", "preset %q does not exist", name)
 	}
 	n.mu.Lock()
-	first := hgpreset.Version{Preset: n.gate.Applied().Preset}
+	initial := hgpreset.Version{Preset: n.gate.Applied().Preset}
 	n.mu.Unlock()
-	v, err = hgpreset.Choose(ctx, n.store, first, p, by)
-	var taken *hgpreset.Taken
-	if errors.As(err, &taken) {
-		return v, &hgfront.PresetConflict{Current: taken.Winner}
+	v, err = hgpreset.Choose(ctx, n.store, initial, p, by)
+	var conflict *hgpreset.Taken
+	if errors.As(err, &conflict) {
+		return v, &hgfront.PresetConflict{Current: conflict.Winner}
 	}
 	if err != nil {
 		return v, hgcall.NewRefusal(hgcall.KindUnknown, hgcall.ReasonStore, time.Second, "%v", err)
@@ -133,7 +136,7 @@
 	return v, nil
 }
 
-// Ready returns why the node takes no new work, or nil.
+// Ready returns an error that says why the node takes no new work, or nil. Its text is the answer of the readiness probe.
 func (n *Node) Ready() (err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,8 +149,8 @@
 	return nil
 }
 
-// Drain stops the node without cutting a call: it gives its shards up, goes on forwarding for callers that hold
-// its address, and returns when none is left. ctx ends the wait; the error then says what is cut.
+// Drain stops the node without cutting a call: it releases its shards, goes on forwarding for callers that still hold its
+// address, and returns once no caller is connected. If ctx ends first, the error says what is cut.
 func (n *Node) Drain(ctx context.Context) (err error) {
 	n.mu.Lock()
 	n.draining = true
@@ -156,7 +159,7 @@
 	n.public.SetKeepAlivesEnabled(false)
 	n.announce()
 	n.releaseIdle(ctx)
-	if err := n.releaseRest(ctx); err != nil {
+	if err := n.releaseRemaining(ctx); err != nil {
 		return err
 	}
 	select {
@@ -171,27 +174,29 @@
 	return nil
 }
 
-// releaseIdle gives up shards while they run no call, for as long as others get the chance to end.
+// releaseIdle releases shards whenever they run no call, for at most drainIdlePeriod. Until then busy shards are still
+// served here, so that their callers need not wait for the next owner.
 func (n *Node) releaseIdle(ctx context.Context) {
-	end := n.now() + drainIdle
+	end := n.now() + drainIdlePeriod
 	for n.now() < end && ctx.Err() == nil {
 		held := lo.Keys(n.owner.Epochs())
 		if len(held) == 0 {
 			return
 		}
 		n.release(ctx, held, true)
-		time.Sleep(drainRetry)
+		time.Sleep(drainRetryInterval)
 	}
 }
 
-// Times of the two steps in which shards are given up.
 const (
-	drainIdle  = 3 * time.Second
-	drainRetry = 50 * time.Millisecond
+	// drainIdlePeriod is how long a draining node releases idle shards only and still serves the others.
+	drainIdlePeriod = 3 * time.Second
+	// drainRetryInterval is the pause between the attempts to release idle shards.
+	drainRetryInterval = 50 * time.Millisecond
 )
 
-// releaseRest gives up the other shards as their calls end, while new calls wait for the next owner.
-func (n *Node) releaseRest(ctx context.Context) (err error) {
+// releaseRemaining releases the other shards as their calls end. New calls of these shards wait for the next owner.
+func (n *Node) releaseRemaining(ctx context.Context) (err error) {
 	for ctx.Err() == nil {
 		held := lo.Keys(n.owner.Epochs())
 		if len(held) == 0 {
@@ -206,9 +211,9 @@
 	return trace.LimitExceeded("%d calls in progress are cut", n.owner.Running())
 }
 
-// deregister removes the registration, so that no one waits for the node.
+// deregister removes the registration, so that no peer waits for the node.
 func (n *Node) deregister() {
-	ctx, cancel := context.WithTimeout(context.Background(), opTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
 	if err := n.removeRegistration(ctx); err != nil {
 		n.log.Warn("registration not removed", "err", err)
--- a/internal/peer/hgnode/peer.go
+++ b/internal/peer/hgnode/peer.go
@@ -11,41 +11,43 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// peerSide is the node as its peers see it.
-type peerSide Node
+// peerHandler is the node's side of the messages between nodes: it answers peers as hginner.Node, and sends suspects and
+// turns to them as hgowner.Sharer and hgowner.Turns.
+type peerHandler Node
 
-// Beat takes a peer's heartbeat and answers with this node's.
-func (p *peerSide) Beat(b hginner.Beat) hginner.Beat {
+// Beat processes a peer's heartbeat and returns this node's. It fetches the preset if the peer's is newer.
+func (p *peerHandler) Beat(b hginner.Beat) hginner.Beat {
 	n := (*Node)(p)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	m, known := n.view.Member(b.ID)
-	if n.take(b) && known {
+	if n.applyHeartbeat(b) && known {
 		n.background(func() { n.fetchPreset(m.Inner) })
 	}
-	return n.message(b.ID)
+	return n.heartbeat(b.ID)
 }
 
-// Preset returns the version that the node applies.
-func (p *peerSide) Preset() hginner.PresetReply {
+// Preset returns the version of the preset that the node applies, and the time since it was last known to be the newest.
+func (p *peerHandler) Preset() hginner.PresetReply {
 	n := (*Node)(p)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return hginner.PresetReply{Version: n.gate.Applied(), Age: n.gate.Age(n.now())}
 }
 
-// Suspect takes a suspect that an endpoint died under.
-func (p *peerSide) Suspect(s hgquarantine.Suspect) {
+// Suspect records a request that was running when an endpoint died, or its clearing. A request that was believed
+// harmless no longer is.
+func (p *peerHandler) Suspect(s hgquarantine.Suspect) {
 	if !s.Cleared {
 		p.turns.refute(hgquarantine.KeyOf(s.Digest))
 	}
 	p.owner.Merge([]hgquarantine.Suspect{s})
 }
 
-// Nudge reads the shard rows and plans anew.
-func (p *peerSide) Nudge() {
+// Nudge reads the shard rows and plans again.
+func (p *peerHandler) Nudge() {
 	n := (*Node)(p)
-	ctx, cancel := context.WithTimeout(n.ctx, opTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, platformTimeout)
 	defer cancel()
 	if err := n.readRows(ctx); err != nil {
 		n.log.Warn("shard rows not read", "err", err)
@@ -55,17 +57,17 @@
 }
 
 // Serve runs a call of a shard that this node owns.
-func (p *peerSide) Serve(ctx context.Context, c hgcall.Call, out hgowner.Sink) (r hgcall.Result, err error) {
-	return (*Node)(p).serveOwn(ctx, c, out)
+func (p *peerHandler) Serve(ctx context.Context, c hgcall.Call, out hgowner.Sink) (r hgcall.Result, err error) {
+	return (*Node)(p).serveLocally(ctx, c, out)
 }
 
 // End ends a program of a shard that this node owns.
-func (p *peerSide) End(ctx context.Context, program string) (err error) {
+func (p *peerHandler) End(ctx context.Context, program string) (err error) {
 	return p.owner.End(ctx, program)
 }
 
-// Query answers a question about a program of a shard that this node owns.
-func (p *peerSide) Query(q hginner.Query) (a hginner.Answer, err error) {
+// Query returns the status or the history of a program of a shard that this node owns.
+func (p *peerHandler) Query(q hginner.Query) (a hginner.Answer, err error) {
 	if q.History {
 		a.History, err = p.owner.History(q.Program)
 		return a, err
@@ -75,11 +77,11 @@
 	return a, err
 }
 
-// shareTimeout bounds the telling of a suspect before its caller is answered.
+// shareTimeout is the longest time that Share waits for peers, as the request's caller is answered only afterwards.
 const shareTimeout = time.Second
 
-// Share tells the live peers of a suspect.
-func (p *peerSide) Share(s hgquarantine.Suspect) {
+// Share sends a suspect to the live peers and waits until all have replied, or for shareTimeout.
+func (p *peerHandler) Share(s hgquarantine.Suspect) {
 	n := (*Node)(p)
 	if !s.Cleared {
 		n.turns.refute(hgquarantine.KeyOf(s.Digest))
@@ -91,13 +93,13 @@
 	for _, m := range live {
 		wg.Go(func() { _ = n.client.Suspect(m.Inner, s) })
 	}
-	told := make(chan struct{})
+	allReplied := make(chan struct{})
 	go func() {
 		wg.Wait()
-		close(told)
+		close(allReplied)
 	}()
 	select {
-	case <-told:
+	case <-allReplied:
 	case <-time.After(shareTimeout):
 	}
 }
--- a/internal/peer/hgnode/turn.go
+++ b/internal/peer/hgnode/turn.go
@@ -11,10 +11,11 @@
 	"hyssopgrade/internal/peer/hginner"
 )
 
-// turnTimeout bounds the question for a turn; without an answer the copy runs.
+// turnTimeout is the timeout of asking for a turn; without a reply in time the copy runs.
 const turnTimeout = 200 * time.Millisecond
 
-// turns are the turns that this node gives, and the requests that it knows to be proven, under a lock.
+// turns guards with a lock the turns that this node grants to copies of requests, and the requests that it knows to be
+// proven harmless.
 type turns struct {
 	timer hgtimer.Timer
 
@@ -56,30 +57,31 @@
 	t.state.Tick(t.timer.Now())
 }
 
-// turnKeeper returns the node that gives the turns of a request: rendezvous hashing over the members that are heard.
-func (n *Node) turnKeeper(digest string) hgmember.Member {
+// turnCoordinator returns the node that grants the turns of a request, by rendezvous hashing over this node and its live
+// peers.
+func (n *Node) turnCoordinator(digest string) hgmember.Member {
 	n.mu.Lock()
 	members := append(n.view.Live(n.now()), n.view.Self())
 	n.mu.Unlock()
 	return hgshard.Ranked(digest, members, 1)[0]
 }
 
-// Enter tells whether a copy of a request may run now. It may too if the node that gives its turns does not answer.
-func (p *peerSide) Enter(digest string, h hgquarantine.Holder) (ok bool) {
+// Enter reports whether a copy of a request may run now. It may also run if the coordinator does not reply.
+func (p *peerHandler) Enter(digest string, h hgquarantine.Holder) (ok bool) {
 	n := (*Node)(p)
 	k := hgquarantine.KeyOf(digest)
 	if n.turns.proven(k) {
 		return true
 	}
-	keeper := n.turnKeeper(digest)
-	if keeper.ID == n.cfg.Node.ID {
+	coordinator := n.turnCoordinator(digest)
+	if coordinator.ID == n.cfg.Node.ID {
 		return n.turns.enter(k, h)
 	}
 	answer := make(chan bool, 1)
 	n.background(func() {
-		ok, err := n.client.EnterTurn(keeper.Inner, hginner.Turn{Key: k, Holder: h})
+		ok, err := n.client.EnterTurn(coordinator.Inner, hginner.Turn{Key: k, Holder: h})
 		if err != nil {
-			n.log.Warn("turn not answered", "digest", digest, "keeper", keeper.ID, "err", err)
+			n.log.Warn("turn coordinator did not reply, the copy runs", "digest", digest, "keeper", coordinator.ID, "err", err)
 		}
 		answer <- ok || err != nil
 	})
@@ -91,21 +93,21 @@
 	}
 }
 
-// Leave ends a copy's turn.
-func (p *peerSide) Leave(digest string, h hgquarantine.Holder, proven bool) {
+// Leave ends a copy's turn, here and at the coordinator. proven says that the copy did not crash its endpoint.
+func (p *peerHandler) Leave(digest string, h hgquarantine.Holder, proven bool) {
 	n := (*Node)(p)
 	k := hgquarantine.KeyOf(digest)
-	known := n.turns.proven(k)
+	alreadyProven := n.turns.proven(k)
 	n.turns.leave(k, h, proven)
-	keeper := n.turnKeeper(digest)
-	if known || keeper.ID == n.cfg.Node.ID {
+	coordinator := n.turnCoordinator(digest)
+	if alreadyProven || coordinator.ID == n.cfg.Node.ID {
 		return
 	}
-	n.background(func() { _ = n.client.LeaveTurn(keeper.Inner, hginner.Turn{Key: k, Holder: h, Proven: proven}) })
+	n.background(func() { _ = n.client.LeaveTurn(coordinator.Inner, hginner.Turn{Key: k, Holder: h, Proven: proven}) })
 }
 
-// EnterTurn gives a peer's copy its turn.
-func (p *peerSide) EnterTurn(t hginner.Turn) (ok bool) { return p.turns.enter(t.Key, t.Holder) }
+// EnterTurn reports whether a peer's copy of a request may run now.
+func (p *peerHandler) EnterTurn(t hginner.Turn) (ok bool) { return p.turns.enter(t.Key, t.Holder) }
 
-// LeaveTurn takes the end of a peer's copy.
-func (p *peerSide) LeaveTurn(t hginner.Turn) { p.turns.leave(t.Key, t.Holder, t.Proven) }
+// LeaveTurn ends the turn of a peer's copy.
+func (p *peerHandler) LeaveTurn(t hginner.Turn) { p.turns.leave(t.Key, t.Holder, t.Proven) }
--- a/internal/peer/hgnode/wire.go
+++ b/internal/peer/hgnode/wire.go
@@ -18,13 +18,14 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// Keys are the key that the nodes of a cell share, and that of its operators, which may be empty.
+// Keys are the key that the nodes of a cell share, and the key of its operators; without the latter the operators' routes
+// are open to all callers.
 type Keys struct {
 	Cell     string
 	Operator string
 }
 
-// ReadKeys returns the keys that the settings name.
+// ReadKeys reads the keys from the files or environment variables that the settings name.
 func ReadKeys(cfg hgconfig.Config) (k Keys, err error) {
 	if k.Cell, err = cfg.Key(); err != nil {
 		return k, err
@@ -33,11 +34,11 @@
 	return k, err
 }
 
-// Release is the program's version.
+// Release identifies the build that runs, for the OpenAPI page.
 type Release struct{ Version string }
 
-// Wire returns the services of a node; later provisions may override them before the node is made,
-// or add a hginner.Dial, by which the node then connects to its peers.
+// Wire returns an injector with the services of a node. Before the node is made, tests may override services, or provide a
+// hginner.Dial by which the node then connects to its peers.
 func Wire(cfg hgconfig.Config, keys Keys, log *slog.Logger, rel Release) *do.RootScope {
 	i := do.New()
 	do.ProvideValue(i, cfg)
@@ -55,8 +56,8 @@
 	return i
 }
 
-// storePrefix is where the nodes of the own interface keep their rows in the platform's store: a table, and one part of
-// it, as their transactions join rows of several shards.
+// storePrefix names the table and the part of it in the platform's store that hold all rows of the nodes of a cell. They
+// are in one part because the nodes' transactions join rows of several shards.
 const storePrefix = "hgown//"
 
 func newStore(i do.Injector) (hgstore.Store, error) {
