--- a/internal/serve/hgowner/call.go
+++ b/internal/serve/hgowner/call.go
@@ -10,20 +10,21 @@
 	"hyssopgrade/hgretain"
 )
 
-// Sink takes the pieces of an answer as they come; a piece is no promise that the answer will be whole.
+// Sink receives the pieces of an answer as the endpoint generates them; the answer may still break off after any piece.
 type Sink interface {
-	// Piece passes generated text on; an error ends the passing on, not the call.
+	// Piece passes on generated text. After an error no more pieces are passed on; the call continues.
 	Piece(text string) (err error)
 }
 
-// begun is what Begin decided under an epoch.
-type begun struct {
-	epoch    uint64
-	n        uint64
-	decision hgprogram.Decision
+// beginResult is the state machine's decision about a new call, the epoch under which it was taken, and the number of the shard's
+// last record after it.
+type beginResult struct {
+	epoch      uint64
+	lastRecord uint64
+	decision   hgprogram.Decision
 }
 
-// Call runs a call, or answers it from the record, and returns its result once it is durable.
+// Call runs a call, or answers a repeated one from its record, and returns the result once the record is durable.
 // The error is a *NotOwner or a *hgcall.Refusal.
 func (o *Owner) Call(ctx context.Context, c hgcall.Call, out Sink) (r hgcall.Result, err error) {
 	if err := c.Check(); err != nil {
@@ -42,10 +43,10 @@
 		if err := o.confirm(ctx, s, b.epoch, d.N); err != nil {
 			return r, err
 		}
-		return settled(d.Result)
+		return resultOrRefusal(d.Result)
 	case hgprogram.Refuse:
 		if len(d.Records) > 0 {
-			if err := o.confirm(ctx, s, b.epoch, b.n); err != nil {
+			if err := o.confirm(ctx, s, b.epoch, b.lastRecord); err != nil {
 				return r, err
 			}
 		}
@@ -56,28 +57,28 @@
 	return j.follow(ctx, out)
 }
 
-// settled turns a recorded result without an answer into its refusal.
-func settled(r hgcall.Result) (hgcall.Result, error) {
+// resultOrRefusal returns a recorded result, and a refusal if the result holds no answer of an endpoint.
+func resultOrRefusal(r hgcall.Result) (hgcall.Result, error) {
 	switch r.State {
 	case hgcall.NotRun:
-		return r, hgcall.NewRefusal(hgcall.KindNotRun, r.Reason, retryNotRun, "the request was not run and will not be; send it under a new identifier")
+		return r, hgcall.NewRefusal(hgcall.KindNotRun, r.Reason, notRunRetryAfter, "the request was not run and will not be; send it under a new identifier")
 	case hgcall.Unknown:
 		return r, hgcall.NewRefusal(hgcall.KindUnknown, r.Reason, 0, "the request was dispatched and its outcome is not known; it will not run again")
 	}
 	return r, nil
 }
 
-// retryNotRun is when to come back with a new identifier.
-const retryNotRun = time.Second
+// notRunRetryAfter is the time after which a caller should send a call that was not run again, under a new identifier.
+const notRunRetryAfter = time.Second
 
-// begin asks the state machine until the call can be decided.
-func (o *Owner) begin(ctx context.Context, s *shard, c hgcall.Call) (b begun, err error) {
+// begin waits until the state machine can decide about the call: until the program's earlier calls have ended, at most Limits.Hold.
+func (o *Owner) begin(ctx context.Context, s *shard, c hgcall.Call) (b beginResult, err error) {
 	ctx, cancel := context.WithTimeout(ctx, min(o.cfg.Limits.Hold, c.Deadline))
 	defer cancel()
 	lim := o.limits()
-	err = s.until(ctx, func() (bool, error) {
+	err = s.waitUntil(ctx, func() (bool, error) {
 		if s.epoch == 0 {
-			return false, &NotOwner{Shard: s.no}
+			return false, &NotOwner{Shard: s.number}
 		}
 		if s.closing {
 			return false, nil
@@ -87,57 +88,60 @@
 		return !wait, nil
 	})
 	if errors.Is(err, context.DeadlineExceeded) {
-		return b, hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonOutOfOrder, retryOutOfOrder,
+		return b, hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonOutOfOrder, outOfOrderRetryAfter,
 			"calls of program %q before %d have not ended", c.Program, c.Seq)
 	}
 	return b, err
 }
 
-// retryOutOfOrder is when to come back with a call whose predecessors have not ended.
-const retryOutOfOrder = time.Second
+// outOfOrderRetryAfter is the time after which a caller should repeat a call under the same identifier, if the program's earlier
+// calls had not ended or the call's endpoint failed.
+const outOfOrderRetryAfter = time.Second
 
-// storeFailing is the time of failing commits after which new calls are refused at once.
-const storeFailing = 300 * time.Millisecond
+// storeFailureLimit is how long commits may fail before new calls are refused at once.
+const storeFailureLimit = 300 * time.Millisecond
 
-// errStore refuses new calls while the store fails.
-var errStore = hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonStore, 5*time.Second, "the platform's store is not reachable; ask again under the same identifier")
+// errStoreUnreachable refuses new calls while commits to the store fail.
+var errStoreUnreachable = hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonStore, 5*time.Second, "the platform's store is not reachable; ask again under the same identifier")
 
-// decide runs Begin and appends its records; the caller holds the shard's lock.
-func (o *Owner) decide(s *shard, c hgcall.Call, lim hgprogram.Limits) begun {
-	if o.cfg.Journal.FailingFor() > storeFailing {
+// decide passes the call to the state machine and queues the records of the decision; the caller holds the shard's lock. While
+// commits fail, it answers only calls that are on record.
+func (o *Owner) decide(s *shard, c hgcall.Call, lim hgprogram.Limits) beginResult {
+	if o.cfg.Journal.FailingFor() > storeFailureLimit {
 		d, ok := s.state.Known(c)
 		if !ok {
-			d = hgprogram.Refuse{Refusal: errStore}
+			d = hgprogram.Refuse{Refusal: errStoreUnreachable}
 		}
-		return begun{epoch: s.epoch, decision: d}
+		return beginResult{epoch: s.epoch, decision: d}
 	}
 	d := s.state.Begin(c, lim, o.now())
 	switch d := d.(type) {
 	case hgprogram.Run:
-		o.cfg.Journal.Append(s.no, s.epoch, d.Records)
+		o.cfg.Journal.Append(s.number, s.epoch, d.Records)
 		s.running++
 		if c.Kind == hgcall.Model {
 			s.keeper.Resumed(c.Program, o.now())
 		}
 		s.notify()
 	case hgprogram.Refuse:
-		o.cfg.Journal.Append(s.no, s.epoch, d.Records)
+		o.cfg.Journal.Append(s.number, s.epoch, d.Records)
 	}
-	return begun{epoch: s.epoch, n: s.state.N(), decision: d}
+	return beginResult{epoch: s.epoch, lastRecord: s.state.N(), decision: d}
 }
 
-// confirm waits for a record, but not longer than a caller should be kept without an answer.
+// confirm waits until a record is durable, at most Limits.CommitWait: a caller gets an answer within that time also when the store
+// does not respond.
 func (o *Owner) confirm(ctx context.Context, s *shard, epoch, n uint64) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, o.cfg.Limits.CommitWait)
 	defer cancel()
-	err = s.durable(ctx, epoch, n)
+	err = s.waitDurable(ctx, epoch, n)
 	if errors.Is(err, context.DeadlineExceeded) {
-		return errSlow
+		return errCommitTimeout
 	}
 	return err
 }
 
-// End ends a program, once that is durable, and releases its engine memory.
+// End ends a program, waits until the record is durable, and releases the program's engine memory.
 func (o *Owner) End(ctx context.Context, programID string) (err error) {
 	if err := hgcall.CheckProgram(programID); err != nil {
 		return err
@@ -160,6 +164,6 @@
 	if err := o.confirm(ctx, s, epoch, n); err != nil {
 		return err
 	}
-	o.order(s, epoch, orders)
+	o.sendOrders(s, epoch, orders)
 	return nil
 }
--- a/internal/serve/hgowner/doc.go
+++ b/internal/serve/hgowner/doc.go
@@ -1,3 +1,3 @@
-// Package hgowner runs the calls of the shards that a node owns: it feeds the programs' state machines,
-// waits for durable records, dispatches to endpoints and settles the outcomes.
+// Package hgowner runs the calls of the shards that a node owns: it passes them to the programs' state machines,
+// waits until the records are durable, dispatches the calls to endpoints and records their outcomes.
 package hgowner
--- a/internal/serve/hgowner/isolation.go
+++ b/internal/serve/hgowner/isolation.go
@@ -12,46 +12,49 @@
 	"hyssopgrade/hgstore"
 )
 
-// isolationPrefix is the prefix of the rows that say which node runs a suspect on an endpoint.
+// isolationPrefix is the key prefix of the isolation rows in the store, one for each endpoint that runs a suspect request.
 const isolationPrefix = "alone/"
 
-// isolationRetry is the wait before an endpoint is tried again.
-const isolationRetry = 100 * time.Millisecond
+// isolationRetryInterval is how long a request waits that got a slot but not its turn or the isolation row, before it tries again.
+const isolationRetryInterval = 100 * time.Millisecond
 
-// holder is a run of a node that runs a suspect.
-type holder struct {
+// isolationRow is the value of an isolation row: the node, and its run, that runs a suspect request on the endpoint.
+type isolationRow struct {
 	Node  string `json:"node"`
 	Run   string `json:"run"`
 	Nonce string `json:"nonce"`
 }
 
-var holderCodec hgcodec.JSON[holder]
+var isolationCodec hgcodec.JSON[isolationRow]
 
-// isolation lets one suspect of the cell at a time run on an endpoint, by a row in the table. It keeps innocent
-// suspects apart from a guilty one; two suspects on one endpoint, after an error here, cost no correctness.
+// isolation lets only one suspect request of the cell at a time run on an endpoint, by means of a row in the store. It keeps harmless
+// suspects away from one that crashes endpoints. If two suspects run on one endpoint after an error here, correctness does not
+// suffer.
 type isolation struct {
 	node  string
 	run   string
 	store hgstore.Table
 	dead  func(node, run string) bool
 
-	mu   sync.Mutex
-	held map[string]bool
+	mu sync.Mutex
+	// reserved is true for the endpoints whose row this process holds or is about to take.
+	reserved map[string]bool
 }
 
 func newIsolation(cfg Config) *isolation {
-	return &isolation{node: cfg.Node, run: cfg.Run, store: cfg.Store, dead: cfg.Dead, held: map[string]bool{}}
+	return &isolation{node: cfg.Node, run: cfg.Run, store: cfg.Store, dead: cfg.Dead, reserved: map[string]bool{}}
 }
 
-// enter takes the endpoint's row if it is free, left behind by this run, or held by a dead run.
-func (i *isolation) enter(ctx context.Context, endpoint string) (entered bool, err error) {
-	defer func() { err = trace.Wrap(err, "isolate endpoint %q", endpoint) }()
+// acquire takes the endpoint's row if there is none, if it remains from an earlier suspect of this run, or if the run
+// that holds it is dead.
+func (i *isolation) acquire(ctx context.Context, endpoint string) (entered bool, err error) {
+	defer func() { err = trace.Wrap(err, "acquire isolation row of endpoint %q", endpoint) }()
 	if !i.reserve(endpoint) {
 		return false, nil
 	}
 	defer func() {
 		if !entered {
-			i.free(endpoint)
+			i.unreserve(endpoint)
 		}
 	}()
 	key := isolationPrefix + endpoint
@@ -60,13 +63,13 @@
 		return false, err
 	}
 	if err == nil {
-		h, err := holderCodec.Decode(row.Value)
+		h, err := isolationCodec.Decode(row.Value)
 		if err != nil || h.Run != i.run && !i.dead(h.Node, h.Run) {
 			return false, err
 		}
 	}
-	h := holder{Node: i.node, Run: i.run, Nonce: uuid.NewString()}
-	data, err := holderCodec.Encode(h)
+	h := isolationRow{Node: i.node, Run: i.run, Nonce: uuid.NewString()}
+	data, err := isolationCodec.Encode(h)
 	if err != nil {
 		return false, err
 	}
@@ -83,24 +86,24 @@
 func (i *isolation) reserve(endpoint string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.held[endpoint] {
+	if i.reserved[endpoint] {
 		return false
 	}
-	i.held[endpoint] = true
+	i.reserved[endpoint] = true
 	return true
 }
 
-func (i *isolation) free(endpoint string) {
+func (i *isolation) unreserve(endpoint string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	delete(i.held, endpoint)
+	delete(i.reserved, endpoint)
 }
 
-// leave gives the endpoint's row back; a row that stays behind is taken over by this run's next suspect,
-// or by others once this run is dead.
-func (i *isolation) leave(endpoint string) {
+// release deletes the endpoint's row. If that fails, the row is taken over by this run's next suspect, or by other nodes once this
+// run is dead.
+func (i *isolation) release(endpoint string) {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	_, _ = i.store.Commit(ctx, hgstore.Txn{Deletes: []string{isolationPrefix + endpoint}})
-	i.free(endpoint)
+	i.unreserve(endpoint)
 }
--- a/internal/serve/hgowner/job.go
+++ b/internal/serve/hgowner/job.go
@@ -13,27 +13,29 @@
 	"hyssopgrade/internal/serve/hgsched"
 )
 
-// job is one call in progress; it goes on when its caller is gone.
+// job is one call in progress; it continues after its caller has left.
 type job struct {
-	o      *Owner
-	s      *shard
-	c      hgcall.Call
+	o *Owner
+	s *shard
+	c hgcall.Call
+	// stream says that the caller gets the answer in pieces.
 	stream bool
 	epoch  uint64
-	intent uint64
-	plan   hgprogram.Run
-	began  time.Duration
-	// intended is when the intent was given to the journal.
-	intended time.Duration
+	// intentRecord is the number of the intent's record, which has to be durable before the dispatch.
+	intentRecord uint64
+	plan         hgprogram.Run
+	startedAt    time.Duration
+	// intentAt is when the intent, or its last renewal, was given to the journal.
+	intentAt time.Duration
 	// mayHaveRun says that an earlier dispatch may have run, so that the call can no longer be refused as not run.
 	mayHaveRun bool
-	// alone says that the call runs on an endpoint that runs nothing else of this node, and no other suspect.
+	// alone says that the call is a suspect: it runs on an endpoint that runs nothing else of this node and no other suspect.
 	alone bool
-	// proven says that an endpoint has begun to answer the dispatch.
+	// proven says that an endpoint has begun to answer the current dispatch.
 	proven bool
-	// entries counts the turns asked for.
-	entries int
-	times   Times
+	// turnAttempts counts the attempts to take the request's turn.
+	turnAttempts int
+	times        Times
 
 	mu      sync.Mutex
 	pieces  []string
@@ -43,15 +45,15 @@
 	changed chan struct{}
 }
 
-func newJob(o *Owner, s *shard, b begun, c hgcall.Call, stream bool) *job {
+func newJob(o *Owner, s *shard, b beginResult, c hgcall.Call, stream bool) *job {
 	now := o.now()
 	plan := b.decision.(hgprogram.Run)
 	return &job{
-		o: o, s: s, c: c, stream: stream, epoch: b.epoch, intent: b.n, plan: plan, began: now, intended: now, changed: make(chan struct{}),
+		o: o, s: s, c: c, stream: stream, epoch: b.epoch, intentRecord: b.lastRecord, plan: plan, startedAt: now, intentAt: now, changed: make(chan struct{}),
 	}
 }
 
-// follow passes pieces to out until the job ends or the caller is gone.
+// follow passes pieces to out until the job has ended or the caller has left.
 func (j *job) follow(ctx context.Context, out Sink) (r hgcall.Result, err error) {
 	sent := 0
 	for {
@@ -83,13 +85,13 @@
 	j.changed = make(chan struct{})
 }
 
-// run executes the call to its end.
+// run executes the call, records its outcome and wakes the callers that follow it.
 func (j *job) run() {
 	ctx, cancel := context.WithTimeout(j.o.ctx, j.c.Deadline-min(answerMargin, j.c.Deadline/10))
 	defer cancel()
 	e := j.execute(ctx)
-	r, err := j.settle(e)
-	j.times.Total = j.o.now() - j.began
+	r, err := j.finish(e)
+	j.times.Total = j.o.now() - j.startedAt
 	j.o.recordCall(j.c, r, j.times)
 	j.change(func() { j.ended, j.result, j.err = true, r, err })
 	j.s.mu.Lock()
@@ -98,31 +100,32 @@
 	j.s.notify()
 }
 
-// ending is how an attempt ended.
-type ending struct {
-	// result is to be recorded, unless abandon or lost.
+// attemptResult is how an attempt to run the call ended.
+type attemptResult struct {
+	// result is the outcome to record, unless abandon or shardLost is set.
 	result hgcall.Result
-	// refusal is the caller's answer in place of the result.
+	// refusal, if set, is the caller's answer in place of the result.
 	refusal *hgcall.Refusal
 	// abandon says that an idempotent call was dispatched without a result and may run again.
 	abandon bool
 	// unsent says that the attempt reached no endpoint.
 	unsent bool
-	// lost says that the shard has another owner.
-	lost bool
-	// exclude names the endpoint that failed, if the call may be tried elsewhere: it was abandoned, or never sent.
+	// shardLost says that the shard has another owner, which resolves the call.
+	shardLost bool
+	// exclude names the endpoint that failed. It is set only if the call may be tried on another endpoint: the call was abandoned
+	// or never sent.
 	exclude string
 }
 
-func notRun(reason hgcall.Reason, ref *hgcall.Refusal) ending {
-	return ending{result: hgcall.Result{State: hgcall.NotRun, Reason: reason}, refusal: ref}
+func notRun(reason hgcall.Reason, ref *hgcall.Refusal) attemptResult {
+	return attemptResult{result: hgcall.Result{State: hgcall.NotRun, Reason: reason}, refusal: ref}
 }
 
-// maxUnsent is the number of attempts at endpoints that took no connection.
+// maxUnsent is the number of attempts that reached no endpoint after which a call is given up.
 const maxUnsent = 4
 
-// execute attempts the call until it has an ending that is not tried again.
-func (j *job) execute(ctx context.Context) ending {
+// execute attempts the call until the attempt's result is final, the deadline has passed, or no further attempt is allowed.
+func (j *job) execute(ctx context.Context) attemptResult {
 	exclude := ""
 	for unsent := 0; ; {
 		e := j.attempt(ctx, exclude)
@@ -133,31 +136,32 @@
 			if unsent++; unsent == maxUnsent {
 				return e
 			}
-		case !j.retry():
+		case !j.prepareRetry():
 			return e
 		}
 		exclude = e.exclude
 	}
 }
 
-// retry prepares one more dispatch of a call that was dispatched and abandoned; it is refused to calls whose pieces
-// were passed on, and without retry budget.
-func (j *job) retry() bool {
-	if j.passedOn() || !j.o.allowRetry() {
+// prepareRetry begins a dispatched call again for one more dispatch. It returns false for a call whose pieces may have reached the
+// caller, and when the retry budget is spent.
+func (j *job) prepareRetry() bool {
+	if j.hasStreamed() || !j.o.allowRetry() {
 		return false
 	}
 	j.o.cfg.Recorder.Retried()
-	return j.reopen()
+	return j.beginAgain()
 }
 
-func (j *job) passedOn() bool {
+func (j *job) hasStreamed() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.stream && len(j.pieces) > 0
 }
 
-// reopen abandons the dispatched call and begins it anew, with a reservation of its own.
-func (j *job) reopen() (ok bool) {
+// beginAgain abandons the dispatched call and begins it again with a new reservation of tokens. The tokens reserved for the
+// abandoned dispatch stay charged to the root program.
+func (j *job) beginAgain() (ok bool) {
 	lim := j.o.limits()
 	n, err := j.s.update(j.o.cfg.Journal, j.epoch, func(st *hgprogram.Shard, _ *hgretain.Keeper) []hgprogram.Record {
 		now := j.o.now()
@@ -169,61 +173,64 @@
 		}
 		return recs
 	})
-	j.intent = n
-	j.intended = j.o.now()
+	j.intentRecord = n
+	j.intentAt = j.o.now()
 	return ok && err == nil
 }
 
-// attempt dispatches the call at most once.
-func (j *job) attempt(ctx context.Context, exclude string) ending {
+// attempt dispatches the call at most once. It waits for the commit of the intent and for a slot at the same time; the dispatch
+// needs both.
+func (j *job) attempt(ctx context.Context, exclude string) attemptResult {
 	durable := make(chan error, 1)
-	go func() { durable <- j.o.confirm(ctx, j.s, j.epoch, j.intent) }()
+	go func() { durable <- j.o.confirm(ctx, j.s, j.epoch, j.intentRecord) }()
 	g, leave, err := j.place(ctx, exclude)
 	if err != nil {
 		ref := hgcall.AsRefusal(err)
-		return j.unlessRan(notRun(ref.Reason, ref))
+		return j.abandonIfMayHaveRun(notRun(ref.Reason, ref))
 	}
 	defer leave()
 	waited := j.o.now()
 	err = <-durable
-	for err == nil && j.tooLate() {
-		err = j.renew(ctx)
+	for err == nil && j.dispatchWindowPassed() {
+		err = j.renewIntent(ctx)
 	}
 	j.times.Commit += j.o.now() - waited
 	if err != nil {
 		j.o.cfg.Scheduler.Done(g, hgsched.Result{})
-		return j.unowned(err)
+		return j.ownershipUnconfirmed(err)
 	}
 	return j.dispatch(ctx, g)
 }
 
-// unowned ends an attempt that could not prove in time that the shard is owned.
-func (j *job) unowned(err error) ending {
+// ownershipUnconfirmed returns the result of an attempt whose intent was not durable in time, so that the node could not confirm
+// that it still owns the shard.
+func (j *job) ownershipUnconfirmed(err error) attemptResult {
 	var other *NotOwner
 	if errors.As(err, &other) {
-		return ending{lost: true}
+		return attemptResult{shardLost: true}
 	}
-	return j.unlessRan(notRun(hgcall.ReasonStore, errSlow))
+	return j.abandonIfMayHaveRun(notRun(hgcall.ReasonStore, errCommitTimeout))
 }
 
-// unlessRan turns a notRun ending of a call that may have run before into an abandoned one.
-func (j *job) unlessRan(e ending) ending {
+// abandonIfMayHaveRun returns e if no earlier dispatch may have run. Otherwise the call cannot be reported as not run: it is
+// abandoned, or failed if it is quarantined.
+func (j *job) abandonIfMayHaveRun(e attemptResult) attemptResult {
 	if !j.mayHaveRun {
 		return e
 	}
 	if e.result.Reason == hgcall.ReasonQuarantined {
-		return ending{result: hgcall.Result{State: hgcall.Failed, Reason: hgcall.ReasonQuarantined}}
+		return attemptResult{result: hgcall.Result{State: hgcall.Failed, Reason: hgcall.ReasonQuarantined}}
 	}
-	return ending{abandon: true, refusal: e.refusal}
+	return attemptResult{abandon: true, refusal: e.refusal}
 }
 
-// tooLate tells whether the time in which the intent may be dispatched has passed: another owner may have taken the shard.
-func (j *job) tooLate() bool {
-	return j.o.now()-j.intended >= j.o.cfg.Limits.DispatchWindow
+// dispatchWindowPassed reports whether the intent is too old for a dispatch: another owner may have taken the shard since.
+func (j *job) dispatchWindowPassed() bool {
+	return j.o.now()-j.intentAt >= j.o.cfg.Limits.DispatchWindow
 }
 
-// renew proves anew that the shard is owned.
-func (j *job) renew(ctx context.Context) (err error) {
+// renewIntent commits a new record for the call, which confirms that the node still owns the shard and restarts the dispatch window.
+func (j *job) renewIntent(ctx context.Context) (err error) {
 	intended := j.o.now()
 	n, err := j.s.update(j.o.cfg.Journal, j.epoch, func(st *hgprogram.Shard, _ *hgretain.Keeper) []hgprogram.Record {
 		return st.Renew(j.c.Program, j.c.Request, intended)
@@ -231,17 +238,18 @@
 	if err != nil {
 		return err
 	}
-	j.intended = intended
+	j.intentAt = intended
 	return j.o.confirm(ctx, j.s, j.epoch, n)
 }
 
-// answerMargin is the time before the deadline at which a call is given up, so that its final answer is in time.
+// answerMargin is how long before its deadline a call is given up, so that the final answer reaches the caller in time.
 const answerMargin = 500 * time.Millisecond
 
-// settle records the ending and returns the caller's answer once the record is durable.
-func (j *job) settle(e ending) (r hgcall.Result, err error) {
-	if e.lost {
-		return r, &NotOwner{Shard: j.s.no}
+// finish records the result of the last attempt and returns the caller's answer once the record is durable. An abandoned call is
+// answered without waiting for its record.
+func (j *job) finish(e attemptResult) (r hgcall.Result, err error) {
+	if e.shardLost {
+		return r, &NotOwner{Shard: j.s.number}
 	}
 	n, err := j.s.update(j.o.cfg.Journal, j.epoch, func(st *hgprogram.Shard, _ *hgretain.Keeper) []hgprogram.Record {
 		if e.abandon {
@@ -253,7 +261,7 @@
 		return r, err
 	}
 	if e.abandon {
-		ref := hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonEndpointFail, retryOutOfOrder, "the call's endpoint failed; ask again under the same identifier")
+		ref := hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonEndpointFail, outOfOrderRetryAfter, "the call's endpoint failed; ask again under the same identifier")
 		if e.refusal != nil {
 			ref.Reason, ref.Detail = e.refusal.Reason, e.refusal.Detail
 		}
@@ -268,22 +276,22 @@
 	if e.refusal != nil {
 		return e.result, e.refusal
 	}
-	return settled(e.result)
+	return resultOrRefusal(e.result)
 }
 
-// dispatch sends the call on the granted place.
-func (j *job) dispatch(ctx context.Context, g hgsched.Grant) ending {
+// dispatch sends the call to the endpoint of the granted slot.
+func (j *job) dispatch(ctx context.Context, g hgsched.Grant) attemptResult {
 	start := j.o.now()
 	ep := j.o.cfg.Endpoints[g.Endpoint]
-	var e ending
+	var e attemptResult
 	if j.c.Kind == hgcall.Model {
-		e = j.chat(ctx, ep, g)
+		e = j.callModel(ctx, ep, g)
 	} else {
-		e = j.tool(ctx, ep, g)
+		e = j.callTool(ctx, ep, g)
 	}
 	j.times.Endpoint += j.o.now() - start
 	return e
 }
 
 // fence returns the fencing number under which the call is dispatched.
-func (j *job) fence() hgendpoint.Fence { return hgendpoint.Fence{Shard: j.s.no, Epoch: j.epoch} }
+func (j *job) fence() hgendpoint.Fence { return hgendpoint.Fence{Shard: j.s.number, Epoch: j.epoch} }
--- a/internal/serve/hgowner/owner_test.go
+++ b/internal/serve/hgowner/owner_test.go
@@ -24,16 +24,16 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// script answers the dispatches of all endpoints of a test, one after the other, with errors or, when none is left, well.
+// script holds the answers of a test's endpoints to dispatches, which they share: the errors one after the other, then successes.
 type script struct {
 	mu   sync.Mutex
 	errs []error
 	sent int
-	// outcomes are the answers to questions for outcomes, of which the last stays; without any, no outcomes are kept.
+	// outcomes are the answers to requests for outcomes, the last of which is repeated; without any, the endpoints keep no outcomes.
 	outcomes []hgendpoint.OutcomeState
 	asked    int
 	fencing  bool
-	// dead says that no endpoint answers a question for its load.
+	// dead makes all status requests fail.
 	dead bool
 }
 
@@ -63,40 +63,40 @@
 	return err
 }
 
-// fake is an endpoint that follows a script.
-type fake struct{ *script }
+// fakeEndpoint is an endpoint that answers from a script.
+type fakeEndpoint struct{ *script }
 
-func (f fake) Chat(context.Context, hgendpoint.ChatRequest, func(string)) (hgendpoint.ChatResult, error) {
+func (f fakeEndpoint) Chat(context.Context, hgendpoint.ChatRequest, func(string)) (hgendpoint.ChatResult, error) {
 	return hgendpoint.ChatResult{Text: "hi", PromptTokens: 2, OutputTokens: 1}, f.next()
 }
 
-func (f fake) Call(context.Context, hgendpoint.ToolRequest) (hgendpoint.ToolResult, error) {
+func (f fakeEndpoint) Call(context.Context, hgendpoint.ToolRequest) (hgendpoint.ToolResult, error) {
 	return hgendpoint.ToolResult{Status: 200, Body: []byte("{}")}, f.next()
 }
 
-func (fake) Order(context.Context, hgendpoint.Order) error { return nil }
-func (f fake) Status(context.Context) (hgendpoint.Status, error) {
+func (fakeEndpoint) Order(context.Context, hgendpoint.Order) error { return nil }
+func (f fakeEndpoint) Status(context.Context) (hgendpoint.Status, error) {
 	if f.dead {
 		return hgendpoint.Status{}, errors.New("dead")
 	}
 	return hgendpoint.Status{}, nil
 }
-func (f fake) Outcome(context.Context, string, hgendpoint.Fence) (hgendpoint.Outcome, error) {
+func (f fakeEndpoint) Outcome(context.Context, string, hgendpoint.Fence) (hgendpoint.Outcome, error) {
 	return f.nextOutcome()
 }
-func (fake) Programs(context.Context) (map[string]int, error) { return nil, nil }
-func (fake) String() string                                   { return "fake" }
+func (fakeEndpoint) Programs(context.Context) (map[string]int, error) { return nil, nil }
+func (fakeEndpoint) String() string                                   { return "fake" }
 
-// quiet shares and records nothing.
-type quiet struct{}
+// noopHooks is a Sharer, Turns and Recorder that does nothing and admits every copy.
+type noopHooks struct{}
 
-func (quiet) Share(hgquarantine.Suspect)                 {}
-func (quiet) CallDone(hgcall.Call, hgcall.Result, Times) {}
-func (quiet) Retried()                                   {}
-func (quiet) Enter(string, hgquarantine.Holder) bool     { return true }
-func (quiet) Leave(string, hgquarantine.Holder, bool)    {}
+func (noopHooks) Share(hgquarantine.Suspect)                 {}
+func (noopHooks) CallDone(hgcall.Call, hgcall.Result, Times) {}
+func (noopHooks) Retried()                                   {}
+func (noopHooks) Enter(string, hgquarantine.Holder) bool     { return true }
+func (noopHooks) Leave(string, hgquarantine.Holder, bool)    {}
 
-// newTestOwner returns the owner of the one shard of a store, and what ends it.
+// newTestOwner returns an Owner of the store's only shard, and a function that stops it as a crash does: at once.
 func newTestOwner(t *testing.T, store hgstore.Store, run string, s *script) (o *Owner, end func()) {
 	t.Helper()
 	p := hgpreset.Shipped()["ordinary"]
@@ -104,12 +104,12 @@
 	var eps []hgroute.Endpoint
 	for i := range 3 {
 		id := fmt.Sprintf("e%d", i)
-		endpoints[id] = fake{s}
+		endpoints[id] = fakeEndpoint{s}
 		eps = append(eps, hgroute.Endpoint{ID: id, Domain: "x", Targets: []string{"m", "t"}})
 	}
 	timer := hgtimer.NewService()
 	o = NewOwner(Config{
-		Node: "n", Run: run, Shards: 1, Store: store, Endpoints: endpoints, Sharer: quiet{}, Turns: quiet{}, Recorder: quiet{}, Timer: timer,
+		Node: "n", Run: run, Shards: 1, Store: store, Endpoints: endpoints, Sharer: noopHooks{}, Turns: noopHooks{}, Recorder: noopHooks{}, Timer: timer,
 		Limits:    Limits{DispatchWindow: time.Second, Hold: time.Second, CommitWait: 2 * time.Second, Retain: time.Hour},
 		Scheduler: hgsched.NewScheduler("n", "x", eps, p, hgsched.WithNow(timer.Now)), Log: hglog.Discard(), Preset: p,
 		Targets: map[string][]string{"t": {"e0", "e1", "e2"}}, Fencing: map[string]bool{"e0": true, "e1": true, "e2": s.fencing}, Dead: func(string, string) bool { return true },
@@ -143,7 +143,8 @@
 	return hgcall.Call{Program: "p", Seq: 1, Request: "r", Kind: hgcall.Tool, Target: "t/o", Idempotent: idempotent, Deadline: 20 * time.Second}
 }
 
-// TestEndings plays what endpoints answer and asks what the caller is told, and again under the same identifier.
+// TestEndings checks the caller's answer for each way a dispatch can end, and the answer to a repetition under the same identifier.
+// It guards against a call that runs twice, or is reported as not run although an endpoint may have run it.
 func TestEndings(t *testing.T) {
 	cut := &hgendpoint.Error{Sent: true, Cut: true, Err: errors.New("cut")}
 	refused := &hgendpoint.Error{Cut: true, Err: errors.New("refused")}
@@ -171,11 +172,11 @@
 				s := &script{errs: tc.errs}
 				o, end := newTestOwner(t, hgstore.NewMemory(), "run", s)
 				defer end()
-				first := told(o.Call(t.Context(), tc.call, nil))
+				first := callerAnswer(o.Call(t.Context(), tc.call, nil))
 				time.Sleep(40 * time.Second)
-				then := told(o.Call(t.Context(), tc.call, nil))
+				then := callerAnswer(o.Call(t.Context(), tc.call, nil))
 				if diff := cmp.Diff([]any{tc.first, tc.then}, []any{first, then}); diff != "" {
-					t.Errorf("told (-want +got):\n%s", diff)
+					t.Errorf("answers (-want +got):\n%s", diff)
 				}
 				if s.sent > tc.sent {
 					t.Errorf("dispatched %d times, at most %d are allowed", s.sent, tc.sent)
@@ -185,7 +186,7 @@
 	}
 }
 
-func told(r hgcall.Result, err error) string {
+func callerAnswer(r hgcall.Result, err error) string {
 	var other *NotOwner
 	var ref *hgcall.Refusal
 	switch {
@@ -197,8 +198,8 @@
 	return string(r.State)
 }
 
-// TestNextOwnerResolvesAnOpenCall kills an owner between intent and outcome and lets another run take the shard:
-// a call that may not be repeated runs again only if no endpoint has seen it and each refuses it from the earlier owner.
+// TestNextOwnerResolvesAnOpenCall stops an owner between intent and outcome, and lets another run of the node take the shard.
+// A call that may not run twice may run again only if no endpoint has seen it and each refuses it from the earlier owner.
 func TestNextOwnerResolvesAnOpenCall(t *testing.T) {
 	const ended, running, unseen = hgendpoint.OutcomeEnded, hgendpoint.OutcomeRunning, hgendpoint.OutcomeUnseen
 	for name, tc := range map[string]struct {
@@ -227,27 +228,28 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := sh.durable(t.Context(), b.epoch, b.n); err != nil {
+				if err := sh.waitDurable(t.Context(), b.epoch, b.lastRecord); err != nil {
 					t.Fatal(err)
 				}
 				end()
 				s := &script{outcomes: tc.outcomes, fencing: tc.fencing}
 				next, end := newTestOwner(t, store, "second", s)
 				defer end()
-				if got := told(next.Call(t.Context(), toolCall(tc.idempotent), nil)); got != "running" {
-					t.Errorf("within the dispatch window the caller is told %q", got)
+				if got := callerAnswer(next.Call(t.Context(), toolCall(tc.idempotent), nil)); got != "running" {
+					t.Errorf("within the dispatch window the caller got %q, want \"running\"", got)
 				}
 				time.Sleep(12 * time.Second)
-				got := told(next.Call(t.Context(), toolCall(tc.idempotent), nil))
+				got := callerAnswer(next.Call(t.Context(), toolCall(tc.idempotent), nil))
 				if diff := cmp.Diff([]any{tc.want, tc.sent}, []any{got, s.sent}); diff != "" {
-					t.Errorf("told and dispatches (-want +got):\n%s", diff)
+					t.Errorf("answer and dispatches (-want +got):\n%s", diff)
 				}
 			})
 		})
 	}
 }
 
-// TestSupersededShardIsGivenUp lets another run take an idle shard: the earlier owner, told of the new epoch, serves it no longer.
+// TestSupersededShardIsGivenUp lets another run take an idle shard. The earlier owner, which has no record to commit and so no
+// conflict, has to stop serving the shard once it learns of the new epoch.
 func TestSupersededShardIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := hgstore.NewMemory()
@@ -257,17 +259,17 @@
 		defer endNext()
 		o.Superseded(0, o.Epochs()[0])
 		if !o.Held(0) {
-			t.Error("the shard was given up at its own epoch")
+			t.Error("the owner gave up the shard on a report of the shard's current epoch")
 		}
 		o.Superseded(0, next.Epochs()[0])
-		if got := told(o.Call(t.Context(), modelCall(), nil)); got != "not owner" {
-			t.Errorf("the earlier owner says %q", got)
+		if got := callerAnswer(o.Call(t.Context(), modelCall(), nil)); got != "not owner" {
+			t.Errorf("the earlier owner answered %q, want \"not owner\"", got)
 		}
 	})
 }
 
-// TestQuarantineIsForTheWholeConversation lets endpoints die under a short message that follows a history:
-// the same message in another conversation still runs, and the same conversation of another program does not.
+// TestQuarantineIsForTheWholeConversation lets endpoints die while they run a short message that follows a history. The same message
+// in another conversation still has to run; the same conversation of another program must not.
 func TestQuarantineIsForTheWholeConversation(t *testing.T) {
 	cut := &hgendpoint.Error{Sent: true, Cut: true, Err: errors.New("cut")}
 	call := func(program string, seq uint64, text string) hgcall.Call {
@@ -286,11 +288,11 @@
 			call("other", 1, "ok"), call("other", 2, "hello"),
 			call("copy", 1, "hello"), call("copy", 2, "ok"),
 		} {
-			got = append(got, told(o.Call(t.Context(), c, nil)))
+			got = append(got, callerAnswer(o.Call(t.Context(), c, nil)))
 		}
 		want := []string{"done", "failed", "done", "done", "done", "notRun"}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("told (-want +got):\n%s", diff)
+			t.Errorf("answers (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/internal/serve/hgowner/ownership.go
+++ b/internal/serve/hgowner/ownership.go
@@ -12,9 +12,9 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// Take claims shards as they were seen, recovers their programs and serves them.
+// Take claims the shards whose rows have not changed since they were read, recovers their programs and starts serving them.
 func (o *Owner) Take(ctx context.Context, seen []hgjournal.SeenRow) (err error) {
-	defer func() { err = trace.Wrap(err, "take %d shards", len(seen)) }()
+	defer func() { err = trace.Wrap(err, "take ownership of %d shards", len(seen)) }()
 	won, err := o.cfg.Journal.Claim(ctx, o.cfg.Node, seen)
 	if err != nil || len(won) == 0 {
 		return err
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// serve starts serving a recovered shard and settles what its previous owner left open.
+// serve starts serving a recovered shard and resolves the calls that its previous owner left without an outcome.
 func (o *Owner) serve(w hgjournal.SeenRow, state *hgprogram.Shard) {
 	s := o.shards[w.Shard]
 	o.cfg.Journal.Hold(w, state.N())
@@ -40,25 +40,26 @@
 	o.mu.Unlock()
 	open := state.OpenCalls()
 	epoch := w.Row.Epoch
-	s.hold(epoch, state, p)
+	s.startServing(epoch, state, p)
 	for _, c := range open {
-		o.wg.Go(func() { o.resolveOpen(s, epoch, c) })
+		o.wg.Go(func() { o.resolveOpenCall(s, epoch, c) })
 	}
 }
 
-// Superseded tells an epoch of a shard that was seen in its row or heard from its owner. A shard that is held under an
-// older one has another owner, which its journal would notice only with the next record.
+// Superseded reports an epoch of a shard that was read from the shard's row or received from its owner. If this node holds the
+// shard under an older epoch, the shard has another owner, and this node stops serving it: the journal would notice only when it
+// commits the shard's next record.
 func (o *Owner) Superseded(n uint32, epoch uint64) {
 	s := o.shards[n]
 	if held := s.heldEpoch(); held == 0 || held >= epoch {
 		return
 	}
-	o.cfg.Log.Warn("shard lost", "shard", n, "epoch", epoch)
-	s.drop()
+	o.cfg.Log.Warn("shard lost to another owner", "shard", n, "epoch", epoch)
+	s.stopServing()
 }
 
-// Release gives shards up, together, and returns those that were. With idle, it does so only with shards that run no call;
-// else it waits for their calls, while new calls of the shards wait for the next owner.
+// Release gives up shards together and returns those that were given up. With idle, it gives up only shards that run no call.
+// Without, it waits for the calls in progress, while new calls of these shards wait for the next owner.
 func (o *Owner) Release(ctx context.Context, shards []uint32, idle bool) (released []uint32, err error) {
 	closing := lo.Filter(shards, func(n uint32, _ int) bool { return o.shards[n].setClosing(idle) })
 	if len(closing) == 0 {
@@ -70,13 +71,13 @@
 		}
 	}()
 	for _, n := range closing {
-		if err := o.shards[n].idle(ctx); err != nil {
+		if err := o.shards[n].waitIdle(ctx); err != nil {
 			return nil, err
 		}
 	}
 	released, err = o.cfg.Journal.Release(ctx, closing)
 	for _, n := range released {
-		o.shards[n].drop()
+		o.shards[n].stopServing()
 	}
 	if len(released) > 0 {
 		o.cfg.Log.Info("shards released", "shards", len(released))
@@ -84,7 +85,7 @@
 	return released, err
 }
 
-// Snapshot returns the encoded state of a held shard and its last record.
+// Snapshot returns the encoded state of an owned shard and the number of its last record. The journal compacts the shard with it.
 func (o *Owner) Snapshot(n uint32) (data []byte, last uint64, ok bool) {
 	snap, ok := o.shards[n].snapshot()
 	if !ok {
@@ -94,7 +95,7 @@
 	return data, snap.N, err == nil
 }
 
-// Tick releases the engine memory of silent programs and forgets programs that are silent for long.
+// Tick releases the engine memory of inactive programs and removes programs that have been inactive for longer than Limits.Retain.
 func (o *Owner) Tick() {
 	now := o.now()
 	for _, s := range o.shards {
@@ -107,12 +108,13 @@
 			orders = k.Tick(now)
 			return st.Forget(now-o.cfg.Limits.Retain, now)
 		})
-		o.order(s, epoch, orders)
+		o.sendOrders(s, epoch, orders)
 	}
 }
 
-// Sweep compares what an endpoint holds, and how full its memory is, with the programs of the held shards: it releases what
-// belongs to no live program, learns where live programs' prefixes are, and forgets those that were evicted.
+// Sweep reads which prefixes an endpoint holds and how full its memory is, and compares them with the programs of the owned
+// shards: it releases prefixes of no live program, records where live programs' prefixes are, and drops records of prefixes
+// that the endpoint has evicted.
 func (o *Owner) Sweep(ctx context.Context, endpoint string) (err error) {
 	defer func() { err = trace.Wrap(err, "sweep endpoint %q", endpoint) }()
 	ep := o.cfg.Endpoints[endpoint]
@@ -141,7 +143,8 @@
 	return nil
 }
 
-// sweepShard tells a held shard what an endpoint holds of its programs.
+// sweepShard updates an owned shard with the prefixes, in tokens, that an endpoint holds of its programs, and with the share of
+// the endpoint's memory in use.
 func (o *Owner) sweepShard(s *shard, endpoint string, share float64, tokens map[string]int) {
 	epoch := s.heldEpoch()
 	if epoch == 0 {
@@ -158,5 +161,5 @@
 		}
 		return nil
 	})
-	o.order(s, epoch, orders)
+	o.sendOrders(s, epoch, orders)
 }
--- a/internal/serve/hgowner/place.go
+++ b/internal/serve/hgowner/place.go
@@ -10,14 +10,14 @@
 	"hyssopgrade/internal/serve/hgsched"
 )
 
-// errQuarantined refuses a request that crashed endpoints.
+// errQuarantined refuses a request that has crashed too many endpoints.
 var errQuarantined = hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonQuarantined, 0, "requests with this content crashed endpoints and are no longer run")
 
-// place waits for a place on an endpoint, and for the request's turn: no unproven copy of it runs at once with another,
-// and a suspect runs on an endpoint without other suspects of the cell.
+// place waits for a slot on an endpoint and for the request's turn, and returns the function that ends the turn. Until the request
+// is proven, its copies run one at a time in the cell. A suspect runs on an endpoint without other suspects of the cell.
 func (j *job) place(ctx context.Context, exclude string) (g hgsched.Grant, leave func(), err error) {
 	for {
-		verdict := j.o.check(j.plan.Content)
+		verdict := j.o.quarantineVerdict(j.plan.Content)
 		if verdict == hgquarantine.Refused {
 			return g, nil, errQuarantined
 		}
@@ -25,49 +25,51 @@
 		if g, err = j.acquire(ctx, exclude); err != nil {
 			return g, nil, err
 		}
-		if leave, ok := j.enter(ctx, g, verdict); ok {
+		if leave, ok := j.enterTurn(ctx, g, verdict); ok {
 			return g, leave, nil
 		}
 		j.o.cfg.Scheduler.Done(g, hgsched.Result{})
 		select {
 		case <-ctx.Done():
-			return g, nil, hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonDeadline, retryNotRun, "no endpoint was free for a suspect, or a copy of the request ran, until the deadline")
-		case <-time.After(isolationRetry):
+			return g, nil, hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonDeadline, notRunRetryAfter, "no endpoint was free for a suspect, or a copy of the request ran, until the deadline")
+		case <-time.After(isolationRetryInterval):
 		}
 	}
 }
 
-// enter takes the request's turn, and a suspect's row; it fails if the verdict has changed meanwhile.
-func (j *job) enter(ctx context.Context, g hgsched.Grant, verdict hgquarantine.Verdict) (leave func(), ok bool) {
-	j.entries++
-	if !j.o.cfg.Turns.Enter(j.plan.Content, j.holder()) {
+// enterTurn takes the request's turn and, for a suspect, the isolation row of the endpoint. It also fails if the verdict about the
+// request has changed meanwhile.
+func (j *job) enterTurn(ctx context.Context, g hgsched.Grant, verdict hgquarantine.Verdict) (leave func(), ok bool) {
+	j.turnAttempts++
+	if !j.o.cfg.Turns.Enter(j.plan.Content, j.turnHolder()) {
 		return nil, false
 	}
 	j.proven = false
 	leave = func() { j.leaveTurn(j.proven) }
-	if j.o.check(j.plan.Content) != verdict {
+	if j.o.quarantineVerdict(j.plan.Content) != verdict {
 		leave()
 		return nil, false
 	}
 	if !j.alone {
 		return leave, true
 	}
-	entered, err := j.o.isolation.enter(ctx, g.Endpoint)
+	entered, err := j.o.isolation.acquire(ctx, g.Endpoint)
 	if err != nil {
-		j.o.cfg.Log.Warn("suspect waits", "program", j.c.Program, "endpoint", g.Endpoint, "err", err)
+		j.o.cfg.Log.Warn("isolation row not acquired; suspect request waits", "program", j.c.Program, "endpoint", g.Endpoint, "err", err)
 	}
 	if !entered {
 		leave()
 		return nil, false
 	}
 	return func() {
-		j.o.isolation.leave(g.Endpoint)
+		j.o.isolation.release(g.Endpoint)
 		j.leaveTurn(j.proven)
 	}, true
 }
 
-// prove lets other copies of the request run: an endpoint has begun to answer it.
-func (j *job) prove() {
+// markProven ends the turn and lets other copies of the request run, as an endpoint has begun to answer this one. A suspect keeps
+// its turn until it has ended.
+func (j *job) markProven() {
 	if !j.proven && !j.alone {
 		j.proven = true
 		j.leaveTurn(true)
@@ -75,12 +77,13 @@
 }
 
 func (j *job) leaveTurn(proven bool) {
-	j.o.cfg.Turns.Leave(j.plan.Content, j.holder(), proven)
+	j.o.cfg.Turns.Leave(j.plan.Content, j.turnHolder(), proven)
 }
 
-// holder names the copy in its present entry, so that the end of an earlier one, told late, does not end this one's turn.
-func (j *job) holder() hgquarantine.Holder {
-	return hgquarantine.HolderOf(j.o.cfg.Run, j.c.Program, fmt.Sprintf("%s %d", j.c.Request, j.entries))
+// turnHolder identifies this copy of the request and its current attempt to take a turn, so that a late message that ends the turn
+// of an earlier attempt does not end the current one.
+func (j *job) turnHolder() hgquarantine.Holder {
+	return hgquarantine.HolderOf(j.o.cfg.Run, j.c.Program, fmt.Sprintf("%s %d", j.c.Request, j.turnAttempts))
 }
 
 func (j *job) acquire(ctx context.Context, exclude string) (g hgsched.Grant, err error) {
@@ -92,20 +95,21 @@
 		Exclude: exclude, Alone: j.alone, Left: time.Until(deadline),
 	}
 	if j.c.Kind == hgcall.Model {
-		r.Home, r.HomeTokens = j.s.home(j.c.Program)
+		r.Home, r.HomeTokens = j.s.prefixEndpoint(j.c.Program)
 	}
 	g, err = j.o.cfg.Scheduler.Acquire(ctx, r)
 	j.times.Queue += g.Waited
 	return g, err
 }
 
-// bytesPerToken is the usual size of a token, for estimates only.
+// bytesPerToken is the usual size of a token in bytes, for estimates only.
 const bytesPerToken = 4
 
-// expectedOutput is the number of output tokens that a call is expected to need at most.
+// expectedOutput caps the number of output tokens that the scheduler is told to expect of a call.
 const expectedOutput = 256
 
-func (s *shard) home(program string) (endpoint string, tokens int) {
+// prefixEndpoint returns the endpoint that holds a program's prefix, and the prefix's length in tokens.
+func (s *shard) prefixEndpoint(program string) (endpoint string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keeper == nil {
--- a/internal/serve/hgowner/resolve.go
+++ b/internal/serve/hgowner/resolve.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// resolveWithin bounds the time in which the outcome of an open call is asked for.
-	resolveWithin = 10 * time.Second
-	// resolveEvery is the time between two questions for it.
-	resolveEvery = 250 * time.Millisecond
+	// resolveTimeout is how long the endpoints are asked for the outcome of an open call.
+	resolveTimeout = 10 * time.Second
+	// resolveInterval is the pause between two rounds of these requests.
+	resolveInterval = 250 * time.Millisecond
 )
 
-// resolveOpen waits until the previous owner may no longer dispatch a call and then closes it.
-// An idempotent call, and one that no endpoint has run nor will run, may then run again.
-func (o *Owner) resolveOpen(s *shard, epoch uint64, c hgprogram.OpenCall) {
+// resolveOpenCall closes a call that the previous owner left without an outcome. It waits first until that owner may no longer
+// dispatch the call. An idempotent call, and a call that no endpoint has run or will run, may run again afterwards.
+func (o *Owner) resolveOpenCall(s *shard, epoch uint64, c hgprogram.OpenCall) {
 	if !o.sleep(o.cfg.Limits.DispatchWindow) {
 		return
 	}
@@ -31,7 +31,7 @@
 		})
 		return
 	}
-	r, unrun := o.findOutcome(hgendpoint.Fence{Shard: s.no, Epoch: epoch}, c)
+	r, unrun := o.findOutcome(hgendpoint.Fence{Shard: s.number, Epoch: epoch}, c)
 	o.cfg.Log.Info("open call resolved", "program", c.Program, "request", c.Request, "state", r.State, "unrun", unrun)
 	_, _ = s.update(o.cfg.Journal, epoch, func(st *hgprogram.Shard, _ *hgretain.Keeper) []hgprogram.Record {
 		if unrun {
@@ -41,7 +41,7 @@
 	})
 }
 
-// sleep returns false when the owner closes meanwhile.
+// sleep returns false if the Owner closes before d has passed.
 func (o *Owner) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -51,46 +51,48 @@
 	}
 }
 
-// findOutcome asks the endpoints of an open call's service for its outcome as long as an answer may still come.
-// unrun tells that no endpoint has run it, and that each refuses it under the previous owner's fencing number from now on.
+// findOutcome asks the endpoints of an open call's service for the call's outcome until the outcome is known, until no endpoint
+// can report it any more, or until resolveTimeout has passed. unrun means that no endpoint has run the call and that each endpoint refuses it from now on under
+// the previous owner's fencing number. A call that was once seen running is never unrun: its endpoint may have restarted since.
 func (o *Owner) findOutcome(f hgendpoint.Fence, c hgprogram.OpenCall) (r hgcall.Result, unrun bool) {
-	end := o.now() + resolveWithin
+	end := o.now() + resolveTimeout
 	started := false
 	for {
-		a := o.askOutcome(f, c)
+		a := o.queryOutcomes(f, c)
 		started = started || a.started
 		switch {
-		case a.found != nil:
-			return toolResult(*a.found), false
+		case a.ended != nil:
+			return toolResult(*a.ended), false
 		case a.unrun && !started:
 			return r, true
-		case !a.pending || o.now() >= end || !o.sleep(resolveEvery):
+		case !a.pending || o.now() >= end || !o.sleep(resolveInterval):
 			return hgcall.Result{State: hgcall.Unknown, Reason: hgcall.ReasonDispatched}, false
 		}
 	}
 }
 
-// answers is what the endpoints of a service know of an open call.
-type answers struct {
-	found *hgendpoint.ToolResult
-	// started says that an endpoint runs it.
+// outcomeReplies sums up what the endpoints of a service know of an open call.
+type outcomeReplies struct {
+	// ended is the call's result, if an endpoint has run it to its end.
+	ended *hgendpoint.ToolResult
+	// started says that an endpoint runs the call.
 	started bool
-	// pending says that an endpoint runs it or can't be reached.
+	// pending says that an endpoint runs the call or could not be reached.
 	pending bool
-	// unrun says that no endpoint has seen it, and that each now refuses it from the previous owner.
+	// unrun says that no endpoint has seen the call and that each endpoint now refuses it from the previous owner.
 	unrun bool
 }
 
-// askOutcome asks each endpoint of an open call's service once.
-func (o *Owner) askOutcome(f hgendpoint.Fence, c hgprogram.OpenCall) answers {
+// queryOutcomes asks each endpoint of an open call's service once for the call's outcome.
+func (o *Owner) queryOutcomes(f hgendpoint.Fence, c hgprogram.OpenCall) outcomeReplies {
 	ids := o.cfg.Targets[c.Service]
-	a := answers{unrun: len(ids) > 0}
+	a := outcomeReplies{unrun: len(ids) > 0}
 	for _, id := range ids {
 		ctx, cancel := context.WithTimeout(o.ctx, probeTimeout)
 		out, err := o.cfg.Endpoints[id].Outcome(ctx, c.Request, f)
 		cancel()
 		if err == nil && out.State == hgendpoint.OutcomeEnded {
-			return answers{found: &out.Result}
+			return outcomeReplies{ended: &out.Result}
 		}
 		a.started = a.started || err == nil && out.State == hgendpoint.OutcomeRunning
 		a.pending = a.pending || a.started || err != nil && !trace.IsNotFound(err)
--- a/internal/serve/hgowner/shard.go
+++ b/internal/serve/hgowner/shard.go
@@ -15,27 +15,32 @@
 // NotOwner reports that the node does not own a program's shard.
 type NotOwner struct{ Shard uint32 }
 
-// Error names the shard.
+// Error returns a message with the shard's number.
 func (e *NotOwner) Error() string { return fmt.Sprintf("shard %d is owned by another node", e.Shard) }
 
-// errSlow reports that a record was not durable in time; it may still become durable.
-var errSlow = hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonStore, 2*time.Second, "the platform's store has not confirmed the record in time; ask again under the same identifier")
+// errCommitTimeout refuses a call whose record was not durable in time; the record may still become durable.
+var errCommitTimeout = hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonStore, 2*time.Second, "the platform's store has not confirmed the record in time; ask again under the same identifier")
 
-// shard is one shard's state under its own lock; epoch 0 means that the node does not own it.
+// shard is the state of one shard under a lock of its own.
 type shard struct {
-	no uint32
-
-	mu        sync.Mutex
-	epoch     uint64
-	closing   bool
-	state     *hgprogram.Shard
-	keeper    *hgretain.Keeper
+	number uint32
+
+	mu sync.Mutex
+	// epoch is the epoch under which the node owns the shard; 0 means that it does not own it.
+	epoch uint64
+	// closing makes new calls wait while the shard is being released.
+	closing bool
+	state   *hgprogram.Shard
+	keeper  *hgretain.Keeper
+	// committed is the number of the last durable record.
 	committed uint64
-	running   int
-	changed   chan struct{}
+	// running is the number of calls in progress.
+	running int
+	// changed is closed and replaced at each change.
+	changed chan struct{}
 }
 
-func newShard(no uint32) *shard { return &shard{no: no, changed: make(chan struct{})} }
+func newShard(no uint32) *shard { return &shard{number: no, changed: make(chan struct{})} }
 
 func (s *shard) heldEpoch() uint64 {
 	s.mu.Lock()
@@ -49,14 +54,14 @@
 	return s.running
 }
 
-// notify wakes all that wait for a change; the caller holds the lock.
+// notify wakes the goroutines that wait for a change; the caller holds the lock.
 func (s *shard) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// hold starts serving a recovered state.
-func (s *shard) hold(epoch uint64, state *hgprogram.Shard, p hgpreset.Preset) {
+// startServing starts serving a recovered state under the epoch.
+func (s *shard) startServing(epoch uint64, state *hgprogram.Shard, p hgpreset.Preset) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch, s.state, s.committed, s.closing = epoch, state, state.N(), false
@@ -64,8 +69,8 @@
 	s.notify()
 }
 
-// drop stops serving.
-func (s *shard) drop() {
+// stopServing discards the state; calls in progress then fail with NotOwner.
+func (s *shard) stopServing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch, s.state, s.keeper, s.closing = 0, nil, nil, false
@@ -87,7 +92,7 @@
 	s.notify()
 }
 
-// setClosing stops new calls; it fails when calls run and idle is demanded.
+// setClosing makes new calls wait. It returns false if the node does not own the shard, or if idle is set and calls run.
 func (s *shard) setClosing(idle bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +103,7 @@
 	return true
 }
 
-// reopen takes new calls again.
+// reopen lets new calls start again.
 func (s *shard) reopen() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,23 +111,23 @@
 	s.notify()
 }
 
-// idle waits until no call runs.
-func (s *shard) idle(ctx context.Context) (err error) {
-	return s.until(ctx, func() (bool, error) { return s.running == 0, nil })
+// waitIdle waits until no call runs.
+func (s *shard) waitIdle(ctx context.Context) (err error) {
+	return s.waitUntil(ctx, func() (bool, error) { return s.running == 0, nil })
 }
 
-// durable waits until record n, written under epoch, is durable.
-func (s *shard) durable(ctx context.Context, epoch, n uint64) (err error) {
-	return s.until(ctx, func() (bool, error) {
+// waitDurable waits until record n, written under epoch, is durable. It fails with NotOwner once the epoch is no longer held.
+func (s *shard) waitDurable(ctx context.Context, epoch, n uint64) (err error) {
+	return s.waitUntil(ctx, func() (bool, error) {
 		if s.epoch != epoch {
-			return false, &NotOwner{Shard: s.no}
+			return false, &NotOwner{Shard: s.number}
 		}
 		return s.committed >= n, nil
 	})
 }
 
-// until waits until done, called under the lock after each change, returns true or an error.
-func (s *shard) until(ctx context.Context, done func() (bool, error)) (err error) {
+// waitUntil calls done under the lock, at first and after each change, until done returns true or an error or ctx ends.
+func (s *shard) waitUntil(ctx context.Context, done func() (bool, error)) (err error) {
 	for {
 		s.mu.Lock()
 		ok, err := done()
@@ -139,22 +144,23 @@
 	}
 }
 
-// update runs fn on the state if the shard is still held under epoch, appends the records and returns the last one's number.
+// update runs fn on the state if the shard is still held under epoch, queues the records that fn returns, and returns the number
+// of the shard's last record.
 func (s *shard) update(j Journal, epoch uint64, fn func(st *hgprogram.Shard, k *hgretain.Keeper) []hgprogram.Record) (n uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.epoch == 0 || s.epoch != epoch {
-		return 0, &NotOwner{Shard: s.no}
+		return 0, &NotOwner{Shard: s.number}
 	}
 	recs := fn(s.state, s.keeper)
-	j.Append(s.no, epoch, recs)
+	j.Append(s.number, epoch, recs)
 	if len(recs) > 0 {
 		s.notify()
 	}
 	return s.state.N(), nil
 }
 
-// snapshot returns the encoded state and its last record.
+// snapshot returns a copy of the state; ok is false if the node does not own the shard.
 func (s *shard) snapshot() (snap hgprogram.Snapshot, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serve/hgowner/status.go
+++ b/internal/serve/hgowner/status.go
@@ -9,14 +9,16 @@
 	"hyssopgrade/hgprogram"
 )
 
-// Breakdown is where a program's time went.
+// Breakdown is where the time of a program's calls went, in nanoseconds.
 type Breakdown struct {
-	Calls    int           `json:"calls"`
-	Queue    time.Duration `json:"queue"`
-	Commit   time.Duration `json:"commit"`
-	Model    time.Duration `json:"model"`
-	Tool     time.Duration `json:"tool"`
-	Total    time.Duration `json:"total"`
+	// Calls is the number of finished calls.
+	Calls  int           `json:"calls"`
+	Queue  time.Duration `json:"queue"`
+	Commit time.Duration `json:"commit"`
+	Model  time.Duration `json:"model"`
+	Tool   time.Duration `json:"tool"`
+	Total  time.Duration `json:"total"`
+	// LastCall is when the last call ended, by the node's monotonic clock.
 	LastCall time.Duration `json:"lastCall"`
 }
 
@@ -26,10 +28,10 @@
 	Time Breakdown `json:"time"`
 }
 
-// maxBreakdowns bounds the programs whose times are kept.
+// maxBreakdowns is the number of programs from which on breakdowns of inactive ones are dropped.
 const maxBreakdowns = 20000
 
-// recordCall adds a finished call to its program's breakdown.
+// recordCall reports a finished call to the metrics and the log, and adds it to its program's breakdown.
 func (o *Owner) recordCall(c hgcall.Call, r hgcall.Result, t Times) {
 	o.cfg.Recorder.CallDone(c, r, t)
 	o.cfg.Log.Info("call ended", "program", c.Program, "seq", c.Seq, "request", c.Request, "target", c.Target, "state", r.State,
@@ -65,7 +67,7 @@
 	s.mu.Lock()
 	if s.epoch == 0 {
 		s.mu.Unlock()
-		return p, &NotOwner{Shard: s.no}
+		return p, &NotOwner{Shard: s.number}
 	}
 	sum, ok := s.state.Summary(id, o.now())
 	s.mu.Unlock()
@@ -86,7 +88,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.epoch == 0 {
-		return nil, &NotOwner{Shard: s.no}
+		return nil, &NotOwner{Shard: s.number}
 	}
 	if _, ok := s.state.Summary(id, o.now()); !ok {
 		return nil, hgcall.Invalid("program", "%q does not exist", id)
@@ -94,7 +96,7 @@
 	return s.state.History(id), nil
 }
 
-// Programs returns the summaries of the programs in the held shards.
+// Programs returns the summaries of the programs in the owned shards.
 func (o *Owner) Programs() []hgprogram.Summary {
 	return lo.FlatMap(o.shards, func(s *shard, _ int) []hgprogram.Summary {
 		s.mu.Lock()
@@ -106,7 +108,8 @@
 	})
 }
 
-// Demand returns the conversations of the held shards' live programs, by the endpoint that last ran them, in tokens.
+// Demand returns the total length, in tokens, of the conversations of the owned shards' live programs, by the endpoint that last ran
+// them.
 func (o *Owner) Demand() map[string]int {
 	sum := map[string]int{}
 	for _, s := range o.shards {
