--- a/internal/serve/hgsched/doc.go
+++ b/internal/serve/hgsched/doc.go
@@ -1,2 +1,2 @@
-// Package hgsched runs admission and routing for concurrent callers: a call waits here until an endpoint has a place for it.
+// Package hgsched admits and routes calls for concurrent callers: a call waits here until it is granted a slot on an endpoint.
 package hgsched
--- a/internal/serve/hgsched/options.go
+++ b/internal/serve/hgsched/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// defaultSubset is the number of endpoints per target that one node uses.
+// defaultSubset is the maximum number of endpoints per target that one node uses.
 const defaultSubset = 50
 
 type options struct {
@@ -15,16 +15,16 @@
 	subset int
 }
 
-// Option sets up a Scheduler.
+// Option configures a Scheduler.
 type Option func(o *options)
 
-// WithLog sets the logger of placement decisions.
+// WithLog sets the logger of granted and refused requests; without it they are not logged.
 func WithLog(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithNow sets the clock.
+// WithNow sets the monotonic clock; the default counts from NewScheduler on.
 func WithNow(now func() time.Duration) Option { return func(o *options) { o.now = now } }
 
-// WithSubset bounds the endpoints per target that the node uses.
+// WithSubset sets the maximum number of endpoints per target that the node uses.
 func WithSubset(n int) Option { return func(o *options) { o.subset = n } }
 
 func newOptions(opts []Option) options {
--- a/internal/serve/hgsched/pool.go
+++ b/internal/serve/hgsched/pool.go
@@ -13,13 +13,13 @@
 	"hyssopgrade/hgroute"
 )
 
-// minRetryAfter and maxRetryAfter bound when a refused caller is told to come back.
+// minRetryAfter and maxRetryAfter bound the time after which a refused caller is told to retry.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// pool is the queues and the router of targets that share endpoints.
+// pool holds the queues and the router of the targets that share endpoints.
 type pool struct {
 	o options
 
@@ -29,18 +29,20 @@
 	queues  map[string]*hgadmit.Queue
 	waiters map[uint64]*waiter
 	lastID  uint64
-	// first is the buffer for the calls that are tried for a free place.
-	first []hgadmit.Waiting
+	// candidates is a reused buffer for the first waiting calls of a queue, which dispatchOne tries in order.
+	candidates []hgadmit.Waiting
 }
 
+// waiter is a call in a queue; its channel receives the placement, at most one.
 type waiter struct {
 	r       Request
 	q       hgroute.Query
 	since   time.Duration
-	granted chan granted
+	granted chan placement
 }
 
-type granted struct {
+// placement is a granted slot with the router's choice that led to it.
+type placement struct {
 	grant  Grant
 	choice hgroute.Choice
 }
@@ -49,6 +51,8 @@
 	return &pool{o: o, router: r, preset: p, queues: map[string]*hgadmit.Queue{}, waiters: map[uint64]*waiter{}}
 }
 
+// acquire waits until the call is granted a slot, ctx ends, or the time left for the call has passed. A slot that is granted while the
+// call gives up is returned at once.
 func (p *pool) acquire(ctx context.Context, r Request) (g Grant, c hgroute.Choice, err error) {
 	id, w, err := p.enqueue(r)
 	if err != nil {
@@ -64,14 +68,14 @@
 	case <-timer.C:
 		err = hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonDeadline, minRetryAfter, "no place for target %q within the deadline", r.Target)
 	}
-	if !p.withdraw(id, r.Target) {
+	if !p.cancel(id, r.Target) {
 		got := <-w.granted
 		p.done(got.grant, Result{})
 	}
 	return g, c, err
 }
 
-// enqueue adds a call to its queue, or refuses it.
+// enqueue adds a call to its target's queue, or refuses it.
 func (p *pool) enqueue(r Request) (id uint64, w *waiter, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,15 +85,16 @@
 	id = p.lastID
 	v := queue.Push(hgadmit.Waiting{ID: id, New: r.New, Served: r.Served, Since: now}, r.Left, now)
 	if v.Refused {
-		return 0, nil, overload(r, v)
+		return 0, nil, overloadRefusal(r, v)
 	}
-	w = &waiter{r: r, q: p.query(r), since: now, granted: make(chan granted, 1)}
+	w = &waiter{r: r, q: p.query(r), since: now, granted: make(chan placement, 1)}
 	p.waiters[id] = w
 	p.dispatch(r.Target, now)
 	return id, w, nil
 }
 
-func overload(r Request, v hgadmit.Verdict) *hgcall.Refusal {
+// overloadRefusal returns the refusal of a call that the queue did not admit.
+func overloadRefusal(r Request, v hgadmit.Verdict) *hgcall.Refusal {
 	after := min(max(v.Expected, minRetryAfter), maxRetryAfter)
 	if v.Closed {
 		return hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonOverload, after, "the preset in force takes no new programs")
@@ -113,24 +118,26 @@
 	return q
 }
 
-func (p *pool) withdraw(id uint64, target string) bool {
+// cancel removes a call from its queue; it returns false if the call was no longer waiting.
+func (p *pool) cancel(id uint64, target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiters, id)
 	return p.queue(target).Remove(id)
 }
 
-// dispatch grants places to waiting calls of a target, in order, until none of the first ones can start.
-// While no endpoint has memory for a new program, only programs under way are tried.
+// dispatch grants slots to waiting calls of a target, in order, until none of the first ones can start. While no endpoint has memory
+// for a new program, only calls of programs in progress are tried. The caller holds the lock.
 func (p *pool) dispatch(target string, now time.Duration) {
 	queue := p.queue(target)
 	for queue.Len() > 0 && p.dispatchOne(queue, p.router.HasRoom(target, now), now) {
 	}
 }
 
+// dispatchOne grants a slot to the first waiting call that can start; it returns false if none can.
 func (p *pool) dispatchOne(queue *hgadmit.Queue, room bool, now time.Duration) bool {
-	p.first = queue.First(p.first, room)
-	for _, wt := range p.first {
+	p.candidates = queue.First(p.candidates, room)
+	for _, wt := range p.candidates {
 		w := p.waiters[wt.ID]
 		choice := p.router.Pick(w.q, now)
 		if choice.Endpoint < 0 || choice.Wait {
@@ -147,7 +154,7 @@
 	delete(p.waiters, id)
 	p.router.Started(choice.Endpoint, w.q)
 	g := Grant{Endpoint: p.router.Endpoint(choice.Endpoint).ID, Waited: now - w.since, pool: p, index: choice.Endpoint}
-	w.granted <- granted{grant: g, choice: choice}
+	w.granted <- placement{grant: g, choice: choice}
 }
 
 func (p *pool) done(g Grant, r Result) {
@@ -163,8 +170,9 @@
 	}
 }
 
-// poke grants places that became free without a call's end.
-func (p *pool) poke(now time.Duration) {
+// dispatchAll grants slots of all targets after a change other than the end of a call, such as a new load report. The caller holds
+// the lock.
+func (p *pool) dispatchAll(now time.Duration) {
 	for t := range p.queues {
 		p.dispatch(t, now)
 	}
@@ -178,7 +186,7 @@
 	for _, q := range p.queues {
 		q.SetPreset(preset)
 	}
-	p.poke(p.o.now())
+	p.dispatchAll(p.o.now())
 }
 
 func (p *pool) setLeaving(endpoint string, leaving bool) {
@@ -186,7 +194,7 @@
 	defer p.mu.Unlock()
 	if i := p.router.Index(endpoint); i >= 0 {
 		p.router.SetLeaving(i, leaving)
-		p.poke(p.o.now())
+		p.dispatchAll(p.o.now())
 	}
 }
 
@@ -196,7 +204,7 @@
 	for i := range p.router.Len() {
 		p.router.SetHeld(i, tokens[p.router.Endpoint(i).ID])
 	}
-	p.poke(p.o.now())
+	p.dispatchAll(p.o.now())
 }
 
 func (p *pool) peerLoads(peer string, calls, tokens map[string]int) {
@@ -207,7 +215,7 @@
 		id := p.router.Endpoint(i).ID
 		p.router.PeerLoad(i, peer, calls[id], tokens[id], now)
 	}
-	p.poke(now)
+	p.dispatchAll(now)
 }
 
 func (p *pool) loads() []hgroute.Load {
