--- a/internal/proof/hgsite/caller.go
+++ b/internal/proof/hgsite/caller.go
@@ -16,32 +16,32 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// Request is a request of a caller.
+// Request is a caller's request to an entry VM.
 type Request struct {
 	hgattempt.Attempt
 	Method, Path, Body string
-	// Header holds further headers.
+	// Header holds headers beside those that encode the attempt.
 	Header http.Header
 }
 
-// Reply is what a caller got.
+// Reply is the answer that a caller received.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Events are the data of the events of a stream, and IDs their identifiers.
+	// Events holds the data of a stream's events, and IDs their identifiers.
 	Events, IDs []string
-	// Whole says that the answer came to its end.
-	Whole bool
-	Took  time.Duration
+	// Complete reports whether the body was read to its end without an error.
+	Complete bool
+	Took     time.Duration
 }
 
 var callerClient = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}}
 
-// NewAttempt returns an identifier that no other attempt has.
+// NewAttempt returns a unique attempt identifier.
 func NewAttempt() string { return strings.ReplaceAll(uuid.NewString(), "-", "")[:16] }
 
-// Call sends a request to an entry VM.
+// Call sends a request to an entry VM and reads its whole answer. A request without an identifier gets a new one.
 func (s *Site) Call(ctx context.Context, node int, q Request) (reply Reply, err error) {
 	if q.ID == "" {
 		q.ID = NewAttempt()
@@ -65,7 +65,7 @@
 	}
 	defer w.Body.Close()
 	body, readErr := io.ReadAll(w.Body)
-	reply = Reply{Status: w.StatusCode, Header: w.Header, Body: string(body), Whole: readErr == nil, Took: time.Since(began)}
+	reply = Reply{Status: w.StatusCode, Header: w.Header, Body: string(body), Complete: readErr == nil, Took: time.Since(began)}
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	for lines.Scan() {
 		if data, ok := strings.CutPrefix(lines.Text(), "data: "); ok {
@@ -78,7 +78,7 @@
 	return reply, nil
 }
 
-// Turn returns a turn of a program on a path; the budget holds most turns unless it is set.
+// Turn returns a turn of a program below a route's path. Its budget of 100,000 tokens is more than most tests use up.
 func Turn(path, program, previous, body string) Request {
 	return Request{Path: path + "turn", Body: body, Attempt: hgattempt.Attempt{
 		ID: NewAttempt(), Program: program, Session: program, Previous: previous, Budget: 100_000, HasBudget: true,
--- a/internal/proof/hgsite/crashing_test.go
+++ b/internal/proof/hgsite/crashing_test.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// maxCrashes is the number of replicas that a request may end, and maxRetries that of its runs afterwards.
+	// maxCrashes is the number of replicas that a request may crash before it is refused, and maxRetries the number of
+	// further runs that it may get as its refusals expire.
 	maxCrashes = 3
 	maxRetries = 3
-	// retryPause is the time after which a caller sends a request again.
+	// retryPause is the time between two sends of the same request.
 	retryPause = 60 * time.Millisecond
 )
 
-// crashAll makes all replicas break off whatever they run.
+// crashAll makes all replicas drop the connection of every request.
 func crashAll(s *hgsite.Site) {
 	for _, r := range s.Replicas {
-		r.SetFault(hgsite.Fault{Left: 1000, Lose: true})
+		r.SetFault(hgsite.Fault{Remaining: 1000, DropConnection: true})
 	}
 }
 
-// wantBounded checks that the replicas of a service ran no more than what a crashing request may cost.
+// wantBounded checks that a service ran the crashing request no more often than maxCrashes and maxRetries allow.
 func wantBounded(t *testing.T, s *hgsite.Site, service string) {
 	t.Helper()
 	if n := len(s.Runs(service)); n > maxCrashes+maxRetries {
-		t.Errorf("ran %d times, want %d and %d retries at most", n, maxCrashes, maxRetries)
+		t.Errorf("the crashing request ran %d times, want %d and %d retries at most", n, maxCrashes, maxRetries)
 	}
 }
 
-// sendAgain sends a request a number of times in turn through all VMs, and returns the last status.
-func sendAgain(t *testing.T, s *hgsite.Site, times int, q hgsite.Request) (status int) {
+// sendRepeatedly sends a request several times, through the VMs in turn, and returns the last status.
+func sendRepeatedly(t *testing.T, s *hgsite.Site, times int, q hgsite.Request) (status int) {
 	t.Helper()
 	for i := range times {
 		status = call(t, s, i%len(s.Nodes), q).Status
@@ -42,7 +43,7 @@
 	return status
 }
 
-// restartAll restarts the VMs one after the other.
+// restartAll kills and restarts the VMs one at a time.
 func restartAll(t *testing.T, s *hgsite.Site) {
 	t.Helper()
 	for i := range s.Nodes {
@@ -51,8 +52,8 @@
 	}
 }
 
-// loseAll kills all VMs at once and starts them again.
-func loseAll(t *testing.T, s *hgsite.Site) {
+// restartAllAtOnce kills all VMs and then starts them again, so that no VM keeps its memory.
+func restartAllAtOnce(t *testing.T, s *hgsite.Site) {
 	t.Helper()
 	for i := range s.Nodes {
 		s.Kill(i)
@@ -78,15 +79,15 @@
 }
 
 var (
-	crashingCharge = hgsite.Request{Path: hgsite.ChargePath + "x", Body: "guilty"}
+	crashingCharge = hgsite.Request{Path: hgsite.ChargePath + "x", Body: "crashing"}
 	crashingCheck  = hgsite.Request{Path: hgsite.CheckPath + "x?id=1", Method: http.MethodGet}
 )
 
 func TestCrashingRequestWithoutBody(t *testing.T) {
 	s := newSite(t, 3)
 	crashAll(s)
-	if status := sendAgain(t, s, 12, crashingCheck); status != http.StatusServiceUnavailable {
-		t.Errorf("at last: status %d", status)
+	if status := sendRepeatedly(t, s, 12, crashingCheck); status != http.StatusServiceUnavailable {
+		t.Errorf("last send: status %d", status)
 	}
 	wantBounded(t, s, hgsite.Tools)
 }
@@ -95,17 +96,17 @@
 	s := newSite(t, 3)
 	crashAll(s)
 	for range 3 {
-		sendAgain(t, s, 6, crashingCharge)
+		sendRepeatedly(t, s, 6, crashingCharge)
 		restartAll(t, s)
 	}
-	sendAgain(t, s, 6, crashingCharge)
+	sendRepeatedly(t, s, 6, crashingCharge)
 	wantBounded(t, s, hgsite.Tools)
 }
 
 func TestCrashingRequestThroughAddedVMs(t *testing.T) {
 	s := newSite(t, 3)
 	crashAll(s)
-	sendAgain(t, s, 6, crashingCharge)
+	sendRepeatedly(t, s, 6, crashingCharge)
 	for range 3 {
 		i := len(s.Nodes)
 		if err := s.AddNode(); err != nil {
@@ -125,20 +126,21 @@
 	s := newSite(t, 3)
 	crashAll(s)
 	for range 3 {
-		sendAgain(t, s, 6, crashingCharge)
+		sendRepeatedly(t, s, 6, crashingCharge)
 		time.Sleep(time.Second)
-		loseAll(t, s)
+		restartAllAtOnce(t, s)
 	}
-	sendAgain(t, s, 6, crashingCharge)
+	sendRepeatedly(t, s, 6, crashingCharge)
 	wantBounded(t, s, hgsite.Tools)
 }
 
-// The replicas that run the request fall silent and start again some time later, as the store tells.
+// A request can crash replicas without a broken connection: they hang, and the store later lists new incarnations of them.
+// Such crashes count as well.
 func TestCrashingRequestThatEndsReplicasSilently(t *testing.T) {
 	s := newSite(t, 3)
 	for i := range 12 {
 		for _, r := range s.Replicas {
-			r.SetFault(hgsite.Fault{Left: 1000, Hang: true})
+			r.SetFault(hgsite.Fault{Remaining: 1000, Hang: true})
 		}
 		q := crashingCharge
 		q.Deadline = 150 * time.Millisecond
@@ -148,7 +150,7 @@
 			if run.Attempt != q.ID {
 				continue
 			}
-			if err := s.Rebirth(run.Replica); err != nil {
+			if err := s.RegisterRestart(run.Replica); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -157,15 +159,16 @@
 	wantBounded(t, s, hgsite.Tools)
 }
 
-// Copies that were let in before the third replica ended are not sent to a second one.
+// Copies of a crashing request that were admitted before the third crash are checked again before a retry, so they are not
+// sent to a second replica.
 func TestCrashingCopiesUnderWayAreCheckedAgain(t *testing.T) {
 	s := newSite(t, 1)
 	for _, r := range s.Replicas {
-		r.SetFault(hgsite.Fault{Left: 1000, Lose: true, After: 200 * time.Millisecond})
+		r.SetFault(hgsite.Fault{Remaining: 1000, DropConnection: true, DropAfter: 200 * time.Millisecond})
 	}
 	const copies = 8
 	q := crashingCheck
-	q.Method, q.Body = http.MethodPost, "guilty"
+	q.Method, q.Body = http.MethodPost, "crashing"
 	var wg sync.WaitGroup
 	for range copies {
 		wg.Go(func() { call(t, s, 0, q) })
@@ -176,37 +179,38 @@
 	}
 }
 
-// Requests that share a path with a crashing one of another caller are served all the while.
-func TestInnocentsBesideCrashingRequestAreServed(t *testing.T) {
+// Requests with the same content as a crashing request of another program are served throughout.
+func TestOtherRequestsServedBesideCrashingRequest(t *testing.T) {
 	s := newSite(t, 3)
-	guilty := crashingCheck
-	guilty.Program = "guilty"
-	crash(s, func(r hgsite.Run) bool { return r.Program == guilty.Program })
-	innocent := func(i int) {
+	crashing := crashingCheck
+	crashing.Program = "crashing"
+	crashOn(s, func(r hgsite.Run) bool { return r.Program == crashing.Program })
+	harmless := func(i int) {
 		q := crashingCheck
-		q.Program = "innocent"
+		q.Program = "harmless"
 		if reply := call(t, s, i%3, q); reply.Status != http.StatusOK {
-			t.Errorf("an innocent request: status %d: %s", reply.Status, reply.Body)
+			t.Errorf("a harmless request: status %d: %s", reply.Status, reply.Body)
 		}
 	}
-	innocent(0)
+	harmless(0)
 	for i := range 12 {
-		call(t, s, i%3, guilty)
-		innocent(i + 1)
+		call(t, s, i%3, crashing)
+		harmless(i + 1)
 		time.Sleep(retryPause)
 	}
-	wantGuilty := 0
+	crashingRuns := 0
 	for _, r := range s.Runs(hgsite.Tools) {
-		if r.Program == guilty.Program {
-			wantGuilty++
+		if r.Program == crashing.Program {
+			crashingRuns++
 		}
 	}
-	if wantGuilty > maxCrashes+maxRetries {
-		t.Errorf("the crashing request ran %d times", wantGuilty)
+	if crashingRuns > maxCrashes+maxRetries {
+		t.Errorf("the crashing request ran %d times", crashingRuns)
 	}
 }
 
-// A whole service that breaks off for a time leaves no request refused once it is sound again.
+// When all replicas of a service crash on every request, no request is to blame. Once the service has recovered, every request
+// is served again.
 func TestBrokenServiceLeavesNoRequestRefused(t *testing.T) {
 	s := newSite(t, 3)
 	crashAll(s)
@@ -233,26 +237,26 @@
 	}
 }
 
-// crash makes all replicas break off under some requests.
-func crash(s *hgsite.Site, guilty func(r hgsite.Run) bool) {
+// crashOn makes all replicas drop the connections of the requests that crashing selects.
+func crashOn(s *hgsite.Site, crashing func(r hgsite.Run) bool) {
 	for _, r := range s.Replicas {
-		r.SetFault(hgsite.Fault{Left: 1000, Lose: true, Only: guilty})
+		r.SetFault(hgsite.Fault{Remaining: 1000, DropConnection: true, Match: crashing})
 	}
 }
 
-// A replica that answers that it failed has not ended, but the request has not proved harmless either.
+// An answer with status 500 shows that the replica has not crashed, but it does not clear the request of earlier crashes.
 func TestFailureDoesNotClearCrashingRequest(t *testing.T) {
 	s := newSite(t, 1)
 	crashAll(s)
-	sendAgain(t, s, 2, crashingCharge)
+	sendRepeatedly(t, s, 2, crashingCharge)
 	for _, r := range s.Replicas {
-		r.SetFault(hgsite.Fault{Left: 1, Error: true})
+		r.SetFault(hgsite.Fault{Remaining: 1, Error: true})
 	}
 	if reply := call(t, s, 0, crashingCharge); reply.Status != http.StatusInternalServerError {
-		t.Fatalf("status %d, want the replica's failure", reply.Status)
+		t.Fatalf("status %d, want that of the replica, 500", reply.Status)
 	}
 	crashAll(s)
-	if status := sendAgain(t, s, 2, crashingCharge); status != http.StatusServiceUnavailable {
-		t.Errorf("after three breaks and a failure: status %d", status)
+	if status := sendRepeatedly(t, s, 2, crashingCharge); status != http.StatusServiceUnavailable {
+		t.Errorf("after three crashes and an answer with status 500: status %d", status)
 	}
 }
--- a/internal/proof/hgsite/doc.go
+++ b/internal/proof/hgsite/doc.go
@@ -1,2 +1,2 @@
-// Package hgsite runs entry VMs against stand-ins of the platform's store, replicas and callers on loopback.
+// Package hgsite runs entry VMs in one process, against stand-ins for the platform's store, replicas and callers on loopback.
 package hgsite
--- a/internal/proof/hgsite/endless_test.go
+++ b/internal/proof/hgsite/endless_test.go
@@ -19,14 +19,13 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// endless is a replica that answers each request with a beginning, and then with the same bytes until its connection is
-// closed.
-type endless struct {
-	head, more string
-	open       atomic.Int64
+// endlessReplica answers each request with head and then with repeated, over and over, until the connection is closed.
+type endlessReplica struct {
+	head, repeated string
+	openConns      atomic.Int64
 }
 
-func (e *endless) serve(l net.Listener) {
+func (e *endlessReplica) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -36,30 +35,30 @@
 	}
 }
 
-func (e *endless) answer(conn net.Conn) {
+func (e *endlessReplica) answer(conn net.Conn) {
 	defer conn.Close()
 	r, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
-	e.open.Add(1)
-	defer e.open.Add(-1)
+	e.openConns.Add(1)
+	defer e.openConns.Add(-1)
 	a, err := hgplatform.Dialect{}.DecodeAttempt(r.Header)
 	if err != nil {
 		return
 	}
-	_, err = io.WriteString(conn, strings.ReplaceAll(e.head, anyID, a.ID))
-	more := strings.Repeat(e.more, 1+8192/len(e.more))
+	_, err = io.WriteString(conn, strings.ReplaceAll(e.head, attemptPlaceholder, a.ID))
+	chunk := strings.Repeat(e.repeated, 1+8192/len(e.repeated))
 	for err == nil {
-		_, err = io.WriteString(conn, more)
+		_, err = io.WriteString(conn, chunk)
 	}
 }
 
-// anyID stands for the attempt's identifier in the heads of answers.
-const anyID = "any-attempt"
+// attemptPlaceholder stands for the attempt's identifier in the heads of test cases.
+const attemptPlaceholder = "any-attempt"
 
-// headOf returns the lines of a head that say what an answer says.
-func headOf(a hgattempt.Answer) string {
+// answerHeaders returns the header lines that encode an answer.
+func answerHeaders(a hgattempt.Answer) string {
 	h, lines := http.Header{}, &strings.Builder{}
 	hgplatform.EncodeAnswer(h, a)
 	if err := h.Write(lines); err != nil {
@@ -68,20 +67,21 @@
 	return lines.String()
 }
 
-// Bytes without end that are no answer, from all replicas to many requests at once, take a bounded part of a VM's
-// memory; callers get an answer of the VM's own in time, and the connections are closed.
+// Guards against replicas that send bytes without end, which could exhaust the VM's memory or block callers. While all replicas
+// do so for many concurrent requests, memory stays bounded, callers get an answer from the VM in time, and the connections to
+// the replicas are closed.
 func TestEndlessBytes(t *testing.T) {
 	const (
 		callers = 48
-		// maxHeap is half of a VM's memory, in bytes; the heap holds the stand-ins and the callers besides the VM.
+		// maxHeap is half of a VM's memory, in bytes. The heap of the test holds the stand-ins and the callers beside the VM.
 		maxHeap = 128 << 20
 	)
-	sealed := headOf(hgattempt.Answer{AttemptID: anyID, Sealed: true})
+	sealed := answerHeaders(hgattempt.Answer{AttemptID: attemptPlaceholder, Sealed: true})
 	okHead := "HTTP/1.1 200 OK\r\n" + sealed
-	inEvents := okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	refusal := "HTTP/1.1 503 Service Unavailable\r\n" + headOf(hgattempt.Answer{AttemptID: anyID, NotRun: true})
+	eventStreamHead := okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	refusal := "HTTP/1.1 503 Service Unavailable\r\n" + answerHeaders(hgattempt.Answer{AttemptID: attemptPlaceholder, NotRun: true})
 	tests := map[string]struct {
-		path, head, more string
+		path, head, repeated string
 	}{
 		"no answer at all":        {hgsite.CheckPath, "", "x"},
 		"header line":             {hgsite.CheckPath, "HTTP/1.1 200 OK\r\nX-Long: ", "x"},
@@ -91,14 +91,14 @@
 		"plain body in chunks":    {hgsite.ChargePath, okHead + "Transfer-Encoding: chunked\r\n\r\n", "4\r\nxxxx\r\n"},
 		"chunk extension":         {hgsite.CheckPath, okHead + "Transfer-Encoding: chunked\r\n\r\n4;", "x"},
 		"trailer":                 {hgsite.CheckPath, okHead + "Transfer-Encoding: chunked\r\n\r\n0\r\n", "X-More: x\r\n"},
-		"event":                   {hgsite.ChatPath, inEvents, "5\r\ndata:\r\n"},
-		"events that say nothing": {hgsite.ThreadPath, inEvents, "3\r\n:\n\n\r\n"},
+		"event":                   {hgsite.ChatPath, eventStreamHead, "5\r\ndata:\r\n"},
+		"events that say nothing": {hgsite.ThreadPath, eventStreamHead, "3\r\n:\n\n\r\n"},
 		"refusal":                 {hgsite.ChargePath, refusal + "\r\n", "x"},
 		"failure of a stream":     {hgsite.ThreadPath, "HTTP/1.1 500 Internal Server Error\r\n" + sealed + "\r\n", "x"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			e := &endless{head: tt.head, more: tt.more}
+			e := &endlessReplica{head: tt.head, repeated: tt.repeated}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -114,17 +114,17 @@
 				}
 			}
 			time.Sleep(time.Second)
-			var most atomic.Uint64
+			var peak atomic.Uint64
 			watch, stop := context.WithCancel(t.Context())
-			go watchHeap(watch, &most)
+			go watchHeap(watch, &peak)
 			var wg sync.WaitGroup
 			for i := range callers {
 				wg.Go(func() {
 					ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 					defer cancel()
 					reply, err := s.Call(ctx, 0, hgsite.Turn(tt.path, fmt.Sprintf("p%d", i), "", "x"))
-					if err == nil && reply.Status == http.StatusOK && reply.Whole {
-						t.Errorf("an answer without end looks whole: %d bytes", len(reply.Body))
+					if err == nil && reply.Status == http.StatusOK && reply.Complete {
+						t.Errorf("the caller got an endless answer as a complete one of %d bytes", len(reply.Body))
 					}
 					if ctx.Err() != nil {
 						t.Error("the caller got no end of its answer")
@@ -133,25 +133,26 @@
 			}
 			wg.Wait()
 			stop()
-			if heap := most.Load(); heap > maxHeap {
+			if heap := peak.Load(); heap > maxHeap {
 				t.Errorf("%d MB of heap, want %d at most", heap>>20, maxHeap>>20)
 			}
 			for range 40 {
-				if e.open.Load() == 0 {
+				if e.openConns.Load() == 0 {
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			t.Errorf("%d connections stay open", e.open.Load())
+			t.Errorf("%d connections stay open", e.openConns.Load())
 		})
 	}
 }
 
-func watchHeap(ctx context.Context, most *atomic.Uint64) {
+// watchHeap samples the heap in use until the context ends and keeps its peak in bytes.
+func watchHeap(ctx context.Context, peak *atomic.Uint64) {
 	var stats runtime.MemStats
 	for ctx.Err() == nil {
 		runtime.ReadMemStats(&stats)
-		most.Store(max(most.Load(), stats.HeapAlloc))
+		peak.Store(max(peak.Load(), stats.HeapAlloc))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/internal/proof/hgsite/failing_test.go
+++ b/internal/proof/hgsite/failing_test.go
@@ -12,11 +12,11 @@
 	"hyssopgrade/internal/proof/hgsite"
 )
 
-// A replica that fails all requests at once, so that it always looks idle, draws few of them.
-func TestFailingReplicaDrawsFew(t *testing.T) {
+// A replica that fails every request immediately always looks idle. Load balancing must not send it most of the requests.
+func TestFailingReplicaGetsFewRequests(t *testing.T) {
 	s := newSite(t, 3)
 	s.Replicas["engine-0"].SetPause(20 * time.Millisecond)
-	s.Replicas["engine-1"].SetFault(hgsite.Fault{Left: 10_000, Error: true})
+	s.Replicas["engine-1"].SetFault(hgsite.Fault{Remaining: 10_000, Error: true})
 	const callers, turns = 8, 12
 	var failed atomic.Int64
 	var wg sync.WaitGroup
--- a/internal/proof/hgsite/fault_test.go
+++ b/internal/proof/hgsite/fault_test.go
@@ -5,5 +5,5 @@
 	"hyssopgrade/internal/proof/hgsite"
 )
 
-// outage takes the store out of reach, or brings it back.
+// outage makes the store unreachable, or reachable again.
 func outage(s *hgsite.Site, down bool) { s.Store.SetFault(hgstore.Fault{Down: down}) }
--- a/internal/proof/hgsite/keys_test.go
+++ b/internal/proof/hgsite/keys_test.go
@@ -9,7 +9,8 @@
 	"hyssopgrade/internal/proof/hgstandin"
 )
 
-// VMs with keys find each other and serve; one without keys is not heard, and does not hear them.
+// VMs with certificates connect to each other and serve. A VM without a certificate can neither send heartbeats to them nor
+// receive theirs.
 func TestSecuredSite(t *testing.T) {
 	s := newSite(t, 3)
 	authority, err := hgstandin.NewAuthority(t.TempDir())
@@ -42,7 +43,7 @@
 	}
 	for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		if s.Nodes[2].Ready(1) {
-			t.Fatal("a VM without keys hears one with keys")
+			t.Fatal("a VM without keys received heartbeats from a VM with keys")
 		}
 	}
 }
--- a/internal/proof/hgsite/leaving_test.go
+++ b/internal/proof/hgsite/leaving_test.go
@@ -12,17 +12,19 @@
 	"hyssopgrade/internal/proof/hgsite"
 )
 
-// chat returns a turn of a program of its own.
+// chat returns a chat turn of program i.
 func chat(i int) hgsite.Request {
 	return hgsite.Turn(hgsite.ChatPath, fmt.Sprint("leaving ", i), "", "x")
 }
 
+// charge returns a charge with a unique body.
 func charge(int) hgsite.Request {
 	return hgsite.Request{Path: hgsite.ChargePath + "x", Body: hgsite.NewAttempt()}
 }
 
-// untilTold sends requests to a VM until a replica that leaves has answered one, and returns how many have come there.
-func untilTold(t *testing.T, s *hgsite.Site, id string, request func(i int) hgsite.Request) (arrivals int) {
+// callUntilLeavingAnnounced sends requests to VM 0 until the replica has received one, whose answer announces that it is
+// leaving. It returns the replica's number of arrivals.
+func callUntilLeavingAnnounced(t *testing.T, s *hgsite.Site, id string, request func(i int) hgsite.Request) (arrivals int) {
 	t.Helper()
 	r := s.Replicas[id]
 	before := r.Arrivals()
@@ -36,24 +38,26 @@
 	return 0
 }
 
+// A VM sends no more requests to a replica after any kind of answer announced that the replica is leaving, until the replica
+// has a new incarnation or the VM restarts.
 func TestLeavingReplicaSaysSoInAnswers(t *testing.T) {
-	const few = 30
-	leaving := func(*testing.T, *hgsite.Site) {}
+	const requests = 30
+	noChange := func(*testing.T, *hgsite.Site) {}
 	tests := map[string]struct {
 		id      string
 		request func(i int) hgsite.Request
 		fault   hgsite.Fault
-		// then happens after the replica has said that it leaves.
+		// then runs after the replica has announced that it is leaving.
 		then func(t *testing.T, s *hgsite.Site)
-		// served says that it gets requests again.
-		served bool
+		// servedAgain says whether the replica gets requests after then.
+		servedAgain bool
 	}{
-		"plain answer":       {"tool-0", charge, hgsite.Fault{}, leaving, false},
-		"head of a stream":   {"engine-0", chat, hgsite.Fault{}, leaving, false},
-		"refusal":            {"tool-0", charge, hgsite.Fault{Left: 1000, Refuse: true}, leaving, false},
-		"failure":            {"tool-0", charge, hgsite.Fault{Left: 1000, Error: true}, leaving, false},
-		"refusal of a turn":  {"engine-0", chat, hgsite.Fault{Left: 1000, Refuse: true}, leaving, false},
-		"stream that breaks": {"engine-0", chat, hgsite.Fault{Left: 1000, BreakAfter: 2}, leaving, false},
+		"plain answer":       {"tool-0", charge, hgsite.Fault{}, noChange, false},
+		"head of a stream":   {"engine-0", chat, hgsite.Fault{}, noChange, false},
+		"refusal":            {"tool-0", charge, hgsite.Fault{Remaining: 1000, Refuse: true}, noChange, false},
+		"failure":            {"tool-0", charge, hgsite.Fault{Remaining: 1000, Error: true}, noChange, false},
+		"refusal of a turn":  {"engine-0", chat, hgsite.Fault{Remaining: 1000, Refuse: true}, noChange, false},
+		"stream that breaks": {"engine-0", chat, hgsite.Fault{Remaining: 1000, CutAfterEvents: 2}, noChange, false},
 		"store is away": {"tool-0", charge, hgsite.Fault{}, func(_ *testing.T, s *hgsite.Site) {
 			outage(s, true)
 		}, false},
@@ -64,16 +68,16 @@
 			if err := s.Unregister("tool-0"); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(inForce)
+			time.Sleep(applyLimit)
 			register(t, s, "tool-0")
-			time.Sleep(inForce)
+			time.Sleep(applyLimit)
 		}, false},
 		"started anew at its address": {"tool-0", charge, hgsite.Fault{}, func(t *testing.T, s *hgsite.Site) {
 			s.Replicas["tool-0"].SetLeaving(false)
-			if err := s.Rebirth("tool-0"); err != nil {
+			if err := s.RegisterRestart("tool-0"); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(inForce)
+			time.Sleep(applyLimit)
 		}, true},
 		"the VM restarts": {"tool-0", charge, hgsite.Fault{}, func(t *testing.T, s *hgsite.Site) {
 			s.Replicas["tool-0"].SetLeaving(false)
@@ -86,41 +90,41 @@
 			s := newSite(t, 1)
 			s.Replicas[tc.id].SetLeaving(true)
 			s.Replicas[tc.id].SetFault(tc.fault)
-			before := untilTold(t, s, tc.id, tc.request)
+			before := callUntilLeavingAnnounced(t, s, tc.id, tc.request)
 			tc.then(t, s)
-			for i := range few {
+			for i := range requests {
 				call(t, s, 0, tc.request(1000+i))
 			}
-			if n := s.Replicas[tc.id].Arrivals() - before; (n > 0) != tc.served {
-				t.Errorf("%s got %d of %d requests since", tc.id, n, few)
+			if n := s.Replicas[tc.id].Arrivals() - before; (n > 0) != tc.servedAgain {
+				t.Errorf("%s got %d of %d requests after it announced that it is leaving", tc.id, n, requests)
 			}
 		})
 	}
 }
 
-// Other VMs hear with heartbeats that a replica leaves, and send it nothing that it has to tell them first.
+// Heartbeats tell the other VMs that a replica is leaving, so they stop sending to it without an announcement of its own.
 func TestPeersHearThatReplicaLeaves(t *testing.T) {
 	s := newSite(t, 3)
 	r := s.Replicas["tool-0"]
 	r.SetLeaving(true)
-	before := untilTold(t, s, "tool-0", charge)
-	time.Sleep(inForce)
+	before := callUntilLeavingAnnounced(t, s, "tool-0", charge)
+	time.Sleep(applyLimit)
 	for i := range 60 {
 		call(t, s, i%3, charge(i))
 	}
 	if n := r.Arrivals() - before; n > 0 {
-		t.Errorf("it got %d of 60 requests since", n)
+		t.Errorf("the replica got %d of 60 requests after it announced that it is leaving", n)
 	}
 	r.SetLeaving(false)
-	if err := s.Rebirth("tool-0"); err != nil {
+	if err := s.RegisterRestart("tool-0"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(inForce)
+	time.Sleep(applyLimit)
 	for i := range 60 {
 		call(t, s, i%3, charge(i))
 	}
 	if r.Arrivals() == before {
-		t.Error("it gets nothing after it has started again")
+		t.Error("the replica got no request after its restart")
 	}
 }
 
@@ -131,7 +135,7 @@
 	}
 }
 
-// When all replicas of a service say that they leave, requests are refused at once with a time to come back.
+// When all replicas of a service are leaving, requests are refused immediately with Retry-After.
 func TestAllReplicasLeave(t *testing.T) {
 	s := newSite(t, 1)
 	for _, r := range s.Replicas {
@@ -146,14 +150,14 @@
 	before := len(s.Runs(hgsite.Tools))
 	reply := call(t, s, 0, charge(0))
 	if reply.Status != http.StatusServiceUnavailable || reply.Header.Get("Retry-After") == "" || reply.Took > time.Second {
-		t.Errorf("status %d after %v, %v", reply.Status, reply.Took, reply.Header)
+		t.Errorf("all replicas are leaving: status %d after %v, headers %v", reply.Status, reply.Took, reply.Header)
 	}
 	if n := len(s.Runs(hgsite.Tools)); n > before {
-		t.Errorf("sent to a replica that leaves")
+		t.Errorf("a leaving replica got a request")
 	}
 }
 
-// Turns that wait for a place when the last replicas say that they leave are refused then, not when their time is up.
+// Turns that are queued when the last replicas announce that they are leaving are refused immediately, not at their deadlines.
 func TestWaitingTurnsAreRefusedWhenAllReplicasLeave(t *testing.T) {
 	s := newSite(t, 1)
 	const turns = 80
--- a/internal/proof/hgsite/outage_test.go
+++ b/internal/proof/hgsite/outage_test.go
@@ -10,7 +10,8 @@
 	"hyssopgrade/internal/serve/hgattempt"
 )
 
-// While the store is out of reach a kept turn is refused, never denied; it goes on after the outage.
+// While the store is unreachable, a turn that follows a retained turn is refused as unavailable, never answered as if the
+// previous turn did not exist. It is served after the outage. Charges are served throughout.
 func TestStoreOutage(t *testing.T) {
 	s := newSite(t, 2)
 	first := hgsite.Turn(hgsite.ThreadPath, "p", "", "first ")
@@ -29,7 +30,7 @@
 	wantStream(t, call(t, s, 1, hgsite.Turn(hgsite.ThreadPath, "q", first.ID, "x")))
 }
 
-// While the store is out of reach programs under way go on, with the tokens that the VM which served them has taken before.
+// While the store is unreachable, programs in progress continue with the tokens that their VM has reserved before the outage.
 func TestOutageUnderWay(t *testing.T) {
 	s := newSite(t, 6)
 	const programs = 12
@@ -42,7 +43,7 @@
 	outage(s, true)
 	time.Sleep(1500 * time.Millisecond)
 	for i := range programs {
-		// The other VM of the same failure domain knows as much.
+		// VM 3 is in the failure domain of VM 0 and knows of the same reservations.
 		if reply := call(t, s, 3*(i%2), turn(i)); reply.Status != http.StatusOK {
 			t.Errorf("program %d: status %d: %s", i, reply.Status, reply.Body)
 		}
--- a/internal/proof/hgsite/path_test.go
+++ b/internal/proof/hgsite/path_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// readyLimit is the time in which a site must be up; VMs have ten seconds before traffic.
+	// readyLimit is the time within which a site must be ready; VMs have ten seconds before they get traffic.
 	readyLimit = 8 * time.Second
-	// inForce is the time in which a change of the desired state or of a registration must be in force.
-	inForce = 2 * time.Second
+	// applyLimit is the time within which a change of the desired state or of a registration must take effect.
+	applyLimit = 2 * time.Second
 )
 
 func newSite(t *testing.T, nodes int) *hgsite.Site {
@@ -46,24 +46,27 @@
 	return reply
 }
 
-func words(n int) (all []string) {
+// eventData returns the data of the first n events of a stream.
+func eventData(n int) (all []string) {
 	for i := 1; i <= n; i++ {
 		all = append(all, hgsite.Event(i))
 	}
 	return all
 }
 
+// wantStream checks that a reply is a complete stream.
 func wantStream(t *testing.T, reply hgsite.Reply) {
 	t.Helper()
-	if reply.Status != http.StatusOK || !reply.Whole {
-		t.Fatalf("status %d, whole %v: %s", reply.Status, reply.Whole, reply.Body)
+	if reply.Status != http.StatusOK || !reply.Complete {
+		t.Fatalf("status %d, complete %v: %s", reply.Status, reply.Complete, reply.Body)
 	}
-	if diff := cmp.Diff(words(hgsite.Events), reply.Events); diff != "" {
+	if diff := cmp.Diff(eventData(hgsite.Events), reply.Events); diff != "" {
 		t.Errorf("events (-want +got):\n%s", diff)
 	}
 }
 
-// Turns of one program enter at any VM, branch, and reach engines with all that was said before.
+// Turns of one program enter through any VM, also in parallel from a common previous turn, and reach engines with the complete
+// history as prompt.
 func TestProgramOverAllVMs(t *testing.T) {
 	s := newSite(t, 3)
 	output := s.Replicas["engine-0"].Output()
@@ -92,6 +95,7 @@
 	wg.Wait()
 }
 
+// bodyOf returns the prompt with which an attempt reached an engine.
 func bodyOf(s *hgsite.Site, attempt string) string {
 	run, _ := lo.Find(s.Runs(hgsite.Engines), func(r hgsite.Run) bool { return r.Attempt == attempt })
 	return run.Body
@@ -128,7 +132,7 @@
 	}
 }
 
-// Headers that only the system may set do not reach a replica as a caller sent them.
+// Headers that only the system may set are removed from callers' requests before they reach a replica.
 func TestForgedHeaders(t *testing.T) {
 	s := newSite(t, 1)
 	q := hgsite.Turn(hgsite.ChatPath, "p", "", "x")
@@ -137,7 +141,7 @@
 	wantStream(t, call(t, s, 0, q))
 	for _, r := range s.Runs(hgsite.Engines) {
 		if len(r.Forged) > 0 {
-			t.Errorf("%s got %q", r.Replica, r.Forged)
+			t.Errorf("%s got the forged headers %q", r.Replica, r.Forged)
 		}
 	}
 }
@@ -152,25 +156,25 @@
 		path   string
 		fault  hgsite.Fault
 		status int
-		// most is the most runs that the request may have.
-		most int
+		// maxRuns is the number of times that the request may run.
+		maxRuns int
 	}{
-		"stream resumes":              {hgsite.ChatPath, hgsite.Fault{Left: 1, BreakAfter: 2}, http.StatusOK, 2},
-		"stream starts again":         {hgsite.ChatPath, hgsite.Fault{Left: 1, Head: true}, http.StatusOK, 2},
-		"kept stream loses its start": {hgsite.ThreadPath, hgsite.Fault{Left: 1, Head: true}, http.StatusBadGateway, 1},
-		"refused everywhere":          {hgsite.ThreadPath, hgsite.Fault{Left: 9, Refuse: true}, http.StatusServiceUnavailable, 0},
-		"check is repeated":           {hgsite.CheckPath, hgsite.Fault{Left: 1, Lose: true}, http.StatusOK, 2},
-		"charge is not repeated":      {hgsite.ChargePath, hgsite.Fault{Left: 1, Lose: true}, http.StatusBadGateway, 1},
-		"charge refused goes on":      {hgsite.ChargePath, hgsite.Fault{Left: 1, Refuse: true}, http.StatusOK, 1},
-		"refusal of another request":  {hgsite.ChargePath, hgsite.Fault{Left: 9, StrangeRefusal: true}, http.StatusBadGateway, 1},
-		"answer of another request":   {hgsite.ChargePath, hgsite.Fault{Left: 1, Stranger: true}, http.StatusBadGateway, 1},
+		"stream resumes":              {hgsite.ChatPath, hgsite.Fault{Remaining: 1, CutAfterEvents: 2}, http.StatusOK, 2},
+		"stream starts again":         {hgsite.ChatPath, hgsite.Fault{Remaining: 1, CutAfterHeaders: true}, http.StatusOK, 2},
+		"kept stream loses its start": {hgsite.ThreadPath, hgsite.Fault{Remaining: 1, CutAfterHeaders: true}, http.StatusBadGateway, 1},
+		"refused everywhere":          {hgsite.ThreadPath, hgsite.Fault{Remaining: 9, Refuse: true}, http.StatusServiceUnavailable, 0},
+		"check is repeated":           {hgsite.CheckPath, hgsite.Fault{Remaining: 1, DropConnection: true}, http.StatusOK, 2},
+		"charge is not repeated":      {hgsite.ChargePath, hgsite.Fault{Remaining: 1, DropConnection: true}, http.StatusBadGateway, 1},
+		"charge refused goes on":      {hgsite.ChargePath, hgsite.Fault{Remaining: 1, Refuse: true}, http.StatusOK, 1},
+		"refusal of another request":  {hgsite.ChargePath, hgsite.Fault{Remaining: 9, RefuseWrongAttemptID: true}, http.StatusBadGateway, 1},
+		"answer of another request":   {hgsite.ChargePath, hgsite.Fault{Remaining: 1, WrongAttemptID: true}, http.StatusBadGateway, 1},
 	}
 	s := newSite(t, 1)
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			defer everywhere(s, hgsite.Fault{})
-			if tt.fault.Left == 1 && tt.most == 2 || tt.status == http.StatusOK {
-				// One replica of each service is at fault, and asked first as it is the nearest.
+			if tt.fault.Remaining == 1 && tt.maxRuns == 2 || tt.status == http.StatusOK {
+				// Only one replica of each service is faulty; engine-0 is tried first, as it is in the VM's failure domain.
 				s.Replicas["engine-0"].SetFault(tt.fault)
 				s.Replicas["tool-0"].SetFault(tt.fault)
 			} else {
@@ -182,14 +186,14 @@
 				t.Errorf("status %d, want %d: %s", reply.Status, tt.status, reply.Body)
 			}
 			if reply.Status != http.StatusOK && hgplatform.Sealed(reply.Header) {
-				t.Error("an answer of the VM's own bears a replica's seal")
+				t.Error("an answer made by the VM carries a replica's seal")
 			}
 			if reply.Status == http.StatusOK && len(reply.Events) > 0 {
 				wantStream(t, reply)
 			}
 			runs := lo.CountBy(append(s.Runs(hgsite.Engines), s.Runs(hgsite.Tools)...), func(r hgsite.Run) bool { return r.Attempt == q.ID })
-			if runs > tt.most {
-				t.Errorf("ran %d times, at most %d", runs, tt.most)
+			if runs > tt.maxRuns {
+				t.Errorf("ran %d times, want %d at most", runs, tt.maxRuns)
 			}
 		})
 	}
@@ -205,22 +209,24 @@
 	if err := s.SetDesired(d); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(inForce)
+	time.Sleep(applyLimit)
 	for node := range s.Nodes {
 		if reply := call(t, s, node, hgsite.Request{Path: "/new/x"}); reply.Status != http.StatusOK {
 			t.Errorf("VM %d: status %d", node, reply.Status)
 		}
 	}
-	// An older state, or one that cannot be read, changes nothing.
+	// A state with an older version is ignored, like one that cannot be read.
 	if err := s.SetDesired(hgsite.Desired(4)); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(inForce)
+	time.Sleep(applyLimit)
 	if reply := call(t, s, 0, hgsite.Request{Path: "/new/x"}); reply.Status != http.StatusOK {
 		t.Errorf("after an older version: status %d", reply.Status)
 	}
 }
 
+// A replica whose registration marks it as leaving gets no requests, also when the store has dropped its change history, so
+// that VMs have to list the table again.
 func TestLeavingReplica(t *testing.T) {
 	s := newSite(t, 2)
 	e := s.Replicas["tool-0"].Entry
@@ -229,7 +235,7 @@
 	if err := s.Register(e); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(inForce)
+	time.Sleep(applyLimit)
 	before := len(s.Replicas["tool-0"].Runs())
 	for i := range 40 {
 		call(t, s, i%2, hgsite.Request{Path: hgsite.CheckPath, Method: http.MethodGet})
@@ -239,7 +245,7 @@
 	}
 }
 
-// After all VMs were lost at once, what was accepted is there again.
+// Retained turns and exhausted budgets survive the loss of all VMs at once.
 func TestTotalLoss(t *testing.T) {
 	s := newSite(t, 3)
 	kept := hgsite.Turn(hgsite.ThreadPath, "kept", "", "first ")
@@ -255,9 +261,9 @@
 	if reply := call(t, s, 2, stopped()); reply.Status != http.StatusPaymentRequired {
 		t.Fatalf("the budget is not spent: status %d", reply.Status)
 	}
-	loseAll(t, s)
+	restartAllAtOnce(t, s)
 	if reply := call(t, s, 0, stopped()); reply.Status != http.StatusPaymentRequired {
-		t.Errorf("a stopped program that comes back: status %d", reply.Status)
+		t.Errorf("a stopped program after the loss of all VMs: status %d", reply.Status)
 	}
 	for i, program := range []string{"kept", "another"} {
 		next := hgsite.Turn(hgsite.ThreadPath, program, kept.ID, "second")
@@ -268,7 +274,7 @@
 	}
 }
 
-// A stop cuts no request, also of callers that have not heard of it.
+// A graceful stop breaks no request, including those of callers that keep sending to the stopping VM.
 func TestGracefulStop(t *testing.T) {
 	s := newSite(t, 2)
 	done := make(chan struct{})
@@ -281,7 +287,7 @@
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
 			reply, err := s.Call(context.Background(), 0, hgsite.Turn(hgsite.ThreadPath, fmt.Sprint("p", i), "", "x"))
-			if err != nil || reply.Status != http.StatusOK || !reply.Whole {
+			if err != nil || reply.Status != http.StatusOK || !reply.Complete {
 				t.Errorf("request %d: %v, status %d", i, err, reply.Status)
 			}
 		})
@@ -290,31 +296,31 @@
 	<-done
 }
 
-// A request that breaks off the replicas that run it reaches three of them, through any VMs, and no more.
+// A request that crashes every replica that runs it runs on three replicas at most, whichever VMs it is sent through.
 func TestCrashingRequest(t *testing.T) {
 	s := newSite(t, 3)
 	for _, r := range s.Replicas {
-		r.SetFault(hgsite.Fault{Left: 100, Lose: true})
+		r.SetFault(hgsite.Fault{Remaining: 100, DropConnection: true})
 	}
 	for i := range 8 {
-		q := hgsite.Request{Path: hgsite.ChargePath + "x", Body: "guilty"}
+		q := hgsite.Request{Path: hgsite.ChargePath + "x", Body: "crashing"}
 		if reply := call(t, s, i%3, q); i >= 4 && reply.Status != http.StatusServiceUnavailable {
 			t.Errorf("try %d: status %d", i, reply.Status)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	if n := len(s.Runs(hgsite.Tools)); n > 3 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("the crashing request ran %d times, want 3 at most", n)
 	}
 	for _, r := range s.Replicas {
 		r.SetFault(hgsite.Fault{})
 	}
-	if reply := call(t, s, 0, hgsite.Request{Path: hgsite.ChargePath + "x", Body: "innocent"}); reply.Status != http.StatusOK {
+	if reply := call(t, s, 0, hgsite.Request{Path: hgsite.ChargePath + "x", Body: "harmless"}); reply.Status != http.StatusOK {
 		t.Errorf("another request: status %d", reply.Status)
 	}
 }
 
-// While replicas are full, programs under way go on and new ones are told at once when to come back.
+// While replicas are full, programs in progress continue and new programs are refused immediately with Retry-After.
 func TestNewProgramsWait(t *testing.T) {
 	s := newSite(t, 1)
 	first := hgsite.Turn(hgsite.ThreadPath, "under way", "", "x")
@@ -328,7 +334,7 @@
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(inForce / 2)
+	time.Sleep(applyLimit / 2)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	status := map[int]int{}
@@ -348,15 +354,15 @@
 	wantStream(t, call(t, s, 0, hgsite.Turn(hgsite.ThreadPath, "under way", first.ID, "x")))
 	wg.Wait()
 	if status[http.StatusOK] == 0 || status[http.StatusServiceUnavailable] == 0 {
-		t.Errorf("answers %v: some must run and some must wait", status)
+		t.Errorf("answers by status %v: want some served and some refused", status)
 	}
 }
 
-// A replica gets no more time than the caller and the route leave.
+// The deadline passed to a replica exceeds neither the caller's deadline nor the route's timeout.
 func TestTimeHandedOn(t *testing.T) {
 	s := newSite(t, 1)
 	route := hgsite.Desired(1).Routes[0].Timeout
-	tests := map[string]struct{ deadline, most time.Duration }{
+	tests := map[string]struct{ deadline, limit time.Duration }{
 		"caller's": {900 * time.Millisecond, 900 * time.Millisecond},
 		"route's":  {time.Minute, route},
 		"none":     {0, route},
@@ -367,14 +373,14 @@
 			q.Deadline = tt.deadline
 			wantStream(t, call(t, s, 0, q))
 			run, _ := lo.Find(s.Runs(hgsite.Engines), func(r hgsite.Run) bool { return r.Attempt == q.ID })
-			if run.Deadline <= tt.most/2 || run.Deadline > tt.most {
-				t.Errorf("the replica got %v of %v", run.Deadline, tt.most)
+			if run.Deadline <= tt.limit/2 || run.Deadline > tt.limit {
+				t.Errorf("the replica got a deadline of %v, want between half of %v and all of it", run.Deadline, tt.limit)
 			}
 		})
 	}
 }
 
-// When a caller leaves, its replica is left within half a second.
+// When a caller disconnects, the VM cancels the request to the replica within half a second.
 func TestCallerLeaves(t *testing.T) {
 	s := newSite(t, 1)
 	for _, r := range s.Replicas {
@@ -383,17 +389,17 @@
 	for _, path := range []string{hgsite.ChatPath, hgsite.ThreadPath, hgsite.CheckPath} {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		if _, err := s.Call(ctx, 0, hgsite.Turn(path, "p"+path, "", "x")); err == nil {
-			t.Errorf("%s: answered", path)
+			t.Errorf("%s: answered before the caller disconnected", path)
 		}
 		gone := time.Now()
 		cancel()
 		time.Sleep(500 * time.Millisecond)
 		left := 0
 		for _, r := range s.Replicas {
-			left += lo.CountBy(r.Left(), func(at time.Time) bool { return at.After(gone.Add(-100 * time.Millisecond)) })
+			left += lo.CountBy(r.Disconnects(), func(at time.Time) bool { return at.After(gone.Add(-100 * time.Millisecond)) })
 		}
 		if left != 1 {
-			t.Errorf("%s: %d replicas were left half a second after the caller", path, left)
+			t.Errorf("%s: %d replicas saw a disconnect within half a second of the caller's, want 1", path, left)
 		}
 	}
 }
--- a/internal/proof/hgsite/play.go
+++ b/internal/proof/hgsite/play.go
@@ -12,62 +12,64 @@
 	"github.com/samber/lo"
 )
 
-// Played is what the callers of a play got.
-type Played struct {
-	// Programs were played, of which Done ended whole and Stopped were stopped by their budget.
+// PlayReport holds the outcomes that the callers of Play saw.
+type PlayReport struct {
+	// Programs is the number of programs run; Done of them completed all turns, and Stopped exhausted their budgets.
 	Programs, Done, Stopped int
 	Turns, Refusals         int
-	// turns are the times of turns in milliseconds.
+	// turns holds the latencies of completed turns in milliseconds.
 	turns *hdrhistogram.Histogram
 }
 
-// String returns the figures for people.
-func (p Played) String() string {
+// String returns a one-line summary that commands and tests print.
+func (p PlayReport) String() string {
 	return fmt.Sprintf("%d programs: %d done, %d stopped by their budget, %d failed; %d turns, %d refusals; a turn %d ms at the median, %d ms for 95 in 100",
 		p.Programs, p.Done, p.Stopped, p.Programs-p.Done-p.Stopped, p.Turns, p.Refusals, p.turns.ValueAtPercentile(50), p.turns.ValueAtPercentile(95))
 }
 
 const (
-	// playTurns is the number of turns of a program, and playSpent of those that its budget holds at their most in each
-	// tenth program: half of that is used, and the budget may be exceeded by one turn's most, so that eight turns are the most.
-	playTurns = 10
-	playSpent = 3
-	// playTries is the number of times that a turn is asked for.
-	playTries = 8
-	// maxTurnMs bounds the times that are told apart.
+	// playTurns is the number of turns of a program. Every tenth program has a budget for the maximum output of
+	// tightBudgetTurns turns. A turn uses half of its maximum, and a budget may be exceeded by the maximum of one turn, so
+	// such a program is stopped after eight turns at most.
+	playTurns        = 10
+	tightBudgetTurns = 3
+	// maxTurnTries is the number of times that a turn is sent until it is answered.
+	maxTurnTries = 8
+	// maxTurnMs is the highest latency, in milliseconds, that the histogram records.
 	maxTurnMs = 60_000
 )
 
-// Play runs programs of kept turns with a call of a tool after each, entering at any VM that runs.
-func (s *Site) Play(ctx context.Context, programs int, seed uint64) Played {
-	p := Played{Programs: programs, turns: hdrhistogram.New(1, maxTurnMs, 2)}
+// Play runs programs concurrently and reports their outcomes. Each program sends retained turns, with a tool call after each
+// turn, and picks an entry VM at random for every request.
+func (s *Site) Play(ctx context.Context, programs int, seed uint64) PlayReport {
+	p := PlayReport{Programs: programs, turns: hdrhistogram.New(1, maxTurnMs, 2)}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range programs {
 		wg.Go(func() {
 			r := rand.New(rand.NewPCG(seed, uint64(i)))
 			time.Sleep(time.Duration(r.Int64N(int64(time.Second))))
-			one := s.playOne(ctx, r, i)
+			result := s.playOne(ctx, r, i)
 			mu.Lock()
 			defer mu.Unlock()
-			p.Done += one.Done
-			p.Stopped += one.Stopped
-			p.Turns += one.Turns
-			p.Refusals += one.Refusals
-			p.turns.Merge(one.turns)
+			p.Done += result.Done
+			p.Stopped += result.Stopped
+			p.Turns += result.Turns
+			p.Refusals += result.Refusals
+			p.turns.Merge(result.turns)
 		})
 	}
 	wg.Wait()
 	return p
 }
 
-func (s *Site) playOne(ctx context.Context, r *rand.Rand, i int) (p Played) {
+func (s *Site) playOne(ctx context.Context, r *rand.Rand, i int) (p PlayReport) {
 	p.turns = hdrhistogram.New(1, maxTurnMs, 2)
 	program, previous := fmt.Sprintf("play-%d", i), ""
 	for t := range playTurns {
 		q := Turn(ThreadPath, program, previous, fmt.Sprintf("input %d of %s ", t, program))
 		if i%10 == 9 {
-			q.Budget = playSpent * q.MostOut
+			q.Budget = tightBudgetTurns * q.MostOut
 		}
 		id, status := s.playTurn(ctx, r, q, &p)
 		if status != http.StatusOK {
@@ -83,16 +85,16 @@
 	return p
 }
 
-// playTurn asks for a turn until it is answered whole or its budget is spent; it returns the attempt and its status, 0 if
-// none was answered.
-func (s *Site) playTurn(ctx context.Context, r *rand.Rand, q Request, p *Played) (id string, status int) {
-	for range playTries {
+// playTurn sends a turn until it is answered completely, its budget is exhausted or maxTurnTries is reached. It returns the
+// identifier and status of the answered attempt, or status 0 if none was answered.
+func (s *Site) playTurn(ctx context.Context, r *rand.Rand, q Request, p *PlayReport) (id string, status int) {
+	for range maxTurnTries {
 		q.ID = NewAttempt()
 		reply, err := s.Call(ctx, s.anyNode(r), q)
 		switch {
-		case err == nil && reply.Status == http.StatusOK && reply.Whole:
+		case err == nil && reply.Status == http.StatusOK && reply.Complete:
 			p.Turns++
-			_ = p.turns.RecordValue(max(reply.Took.Milliseconds(), 1)) // a longer time than the most is left out
+			_ = p.turns.RecordValue(max(reply.Took.Milliseconds(), 1)) // the histogram drops latencies above maxTurnMs
 			return q.ID, reply.Status
 		case err == nil && reply.Status == http.StatusPaymentRequired:
 			return q.ID, reply.Status
@@ -103,5 +105,5 @@
 	return "", 0
 }
 
-// anyNode returns a VM at random.
+// anyNode returns the index of a random entry VM.
 func (s *Site) anyNode(r *rand.Rand) int { return r.IntN(len(s.Nodes)) }
--- a/internal/proof/hgsite/ready_test.go
+++ b/internal/proof/hgsite/ready_test.go
@@ -9,7 +9,8 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// A VM that has just started counts as ready only when it knows the replicas and the markers of the store as well.
+// A restarted VM is ready only after it has loaded the replicas and the ledger's markers from the store, also when one of these
+// tables loads slowly, so that its first requests are served.
 func TestReadyKnowsAllTables(t *testing.T) {
 	for name, table := range map[string]string{"replicas": hgplatform.ReplicaTable, "VMs and markers": "hgnode"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proof/hgsite/replica.go
+++ b/internal/proof/hgsite/replica.go
@@ -15,73 +15,74 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// Fault says how a replica treats its next requests.
+// Fault describes how a replica mishandles its next requests.
 type Fault struct {
-	// Left is the number of requests that are treated so.
-	Left int
-	// Refuse answers that the request was not run.
+	// Remaining is the number of requests that the fault still applies to.
+	Remaining int
+	// Refuse answers that the request was not executed.
 	Refuse bool
-	// Lose runs the request and breaks the connection without an answer.
-	Lose bool
+	// DropConnection runs the request and closes the connection without an answer, as a crashing replica does.
+	DropConnection bool
 	// Hang runs the request and never answers it.
 	Hang bool
-	// After is the time that the request runs until then.
-	After time.Duration
-	// Only says which requests are treated so; nil means all.
-	Only func(r Run) bool
-	// BreakAfter breaks a stream off after so many events, within the next one; 0 does not.
-	BreakAfter int
-	// Head sends the head of a stream and breaks it off before its first event.
-	Head bool
-	// Error answers at once that the request failed.
+	// DropAfter is the time that the request runs before DropConnection closes the connection.
+	DropAfter time.Duration
+	// Match selects the requests that the fault applies to; nil selects all.
+	Match func(r Run) bool
+	// CutAfterEvents closes a stream's connection after that many complete events, in the middle of the next; 0 disables it.
+	CutAfterEvents int
+	// CutAfterHeaders sends the headers of a stream and closes the connection before the first event.
+	CutAfterHeaders bool
+	// Error answers immediately with status 500.
 	Error bool
-	// Stranger answers with the identifier of another request.
-	Stranger bool
-	// StrangeRefusal runs the request behind the refusal of another one, as when an answer comes late.
-	StrangeRefusal bool
+	// WrongAttemptID runs the request and answers with the attempt identifier of another request.
+	WrongAttemptID bool
+	// RefuseWrongAttemptID runs the request but sends the refusal of another one, as a late answer to an earlier
+	// request would look.
+	RefuseWrongAttemptID bool
 }
 
-// Run is a request that a replica ran.
+// Run is a record of a request that a replica executed.
 type Run struct {
 	Replica, Attempt, URI, Body string
-	// Born is the number of the replica's start, and Leaving says whether its answer told that it leaves.
-	Born      string
-	Leaving   bool
-	Program   string
-	At        time.Time
-	Forged    []string
-	LastEvent string
-	// FetchFrom is the address from which to fetch what is kept of the prompt.
+	// Incarnation is the number of the replica's start; Leaving reports whether the answer announced that it is leaving.
+	Incarnation string
+	Leaving     bool
+	Program     string
+	At          time.Time
+	Forged      []string
+	LastEvent   string
+	// FetchFrom is the address of the replica from which to fetch the cached part of the prompt.
 	FetchFrom string
-	// Deadline is the time that the replica was given.
+	// Deadline is the time that the request left to the replica.
 	Deadline time.Duration
 }
 
-// Replica is a stand-in: a model engine that streams events, or a plain service.
+// Replica is a stand-in for an endpoint: a model engine that streams events, or a tool that answers with a plain body.
 type Replica struct {
 	Entry  hgreplica.Entry
 	engine bool
-	// Events is the number of events of a stream, and Pause the time before each.
+	// events is the number of events of a stream; pause is the time before each event, and before a tool's answer.
 	events int
 	pause  time.Duration
 	srv    *http.Server
-	// starts is the number of the replica's last start.
+	// starts is the number of the replica's latest start, from which its incarnation is made.
 	starts int
 
 	mu    sync.Mutex
 	fault Fault
-	// guilty says which requests break the replica off whenever they come.
-	guilty func(r Run) bool
-	// leaving says that all answers tell that the replica leaves.
+	// crashing selects the requests that crash the replica every time, whatever the fault.
+	crashing func(r Run) bool
+	// leaving makes all answers announce that the replica is leaving.
 	leaving bool
-	// arrivals is the number of requests that have come, those that were refused included.
+	// arrivals is the number of requests received, including refused ones.
 	arrivals int
 	runs     []Run
-	// left holds when the senders of requests in progress went away.
-	left []time.Time
+	// disconnects holds the times at which senders disconnected from requests in progress.
+	disconnects []time.Time
 }
 
-// newReplica starts a replica on loopback.
+// newReplica starts a replica on loopback and enters its address into the registration.
 func newReplica(e hgreplica.Entry, engine bool, events int, pause time.Duration) (r *Replica, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,65 +95,65 @@
 	return r, nil
 }
 
-// Left returns when senders went away from requests in progress.
-func (r *Replica) Left() []time.Time {
+// Disconnects returns the times at which senders disconnected from requests in progress.
+func (r *Replica) Disconnects() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]time.Time(nil), r.left...)
+	return append([]time.Time(nil), r.disconnects...)
 }
 
-// watch notes when the sender of a request goes away; the returned function ends it.
-func (r *Replica) watch(ctx context.Context) (end func() bool) {
+// watchDisconnect records when the sender of a request disconnects; the returned function stops watching.
+func (r *Replica) watchDisconnect(ctx context.Context) (end func() bool) {
 	return context.AfterFunc(ctx, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.left = append(r.left, time.Now())
+		r.disconnects = append(r.disconnects, time.Now())
 	})
 }
 
-// SetFault replaces the fault.
+// SetFault replaces the fault; the zero value removes it.
 func (r *Replica) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// SetGuilty sets which requests break the replica off whenever they come.
-func (r *Replica) SetGuilty(guilty func(r Run) bool) {
+// SetCrashing sets which requests crash the replica every time; the replica drops the connection of each.
+func (r *Replica) SetCrashing(crashing func(r Run) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.guilty = guilty
+	r.crashing = crashing
 }
 
-// SetLeaving sets whether all answers tell that the replica leaves.
+// SetLeaving sets whether all answers announce that the replica is leaving.
 func (r *Replica) SetLeaving(leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = leaving
 }
 
-func (r *Replica) born() string {
+func (r *Replica) incarnation() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Entry.Born
 }
 
-// Arrivals returns the number of requests that have come, those that were refused included.
+// Arrivals returns the number of requests received, including refused ones.
 func (r *Replica) Arrivals() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.arrivals
 }
 
-// arrive counts a request and says whether its answer tells that the replica leaves.
-func (r *Replica) arrive() (leaving bool) {
+// countArrival counts a request and reports whether its answer announces that the replica is leaving.
+func (r *Replica) countArrival() (leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals++
 	return r.leaving
 }
 
-// SetPause changes the time before each event.
+// SetPause sets the time before each event of a stream, and before a tool's answer.
 func (r *Replica) SetPause(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,28 +167,28 @@
 	time.Sleep(d)
 }
 
-// Runs returns what the replica has run.
+// Runs returns the requests that the replica has executed, in order of arrival.
 func (r *Replica) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Run(nil), r.runs...)
 }
 
-// nextFault returns how to treat a request.
-func (r *Replica) nextFault(run Run) Fault {
+// takeFault returns the fault that applies to a request and counts it against Remaining.
+func (r *Replica) takeFault(run Run) Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.guilty != nil && r.guilty(run) {
-		return Fault{Lose: true}
+	if r.crashing != nil && r.crashing(run) {
+		return Fault{DropConnection: true}
 	}
-	if r.fault.Left == 0 || r.fault.Only != nil && !r.fault.Only(run) {
+	if r.fault.Remaining == 0 || r.fault.Match != nil && !r.fault.Match(run) {
 		return Fault{}
 	}
-	r.fault.Left--
+	r.fault.Remaining--
 	return r.fault
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP executes one request with the current fault. A request meant for another replica gets status 421.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	a, err := hgplatform.Dialect{}.DecodeAttempt(q.Header)
 	if err != nil {
@@ -200,12 +201,12 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	answer.Leaving = r.arrive()
+	answer.Leaving = r.countArrival()
 	run := Run{
-		Replica: r.Entry.ID, Born: r.born(), Leaving: answer.Leaving, Attempt: a.ID, Program: a.Program, URI: q.RequestURI, At: time.Now(), Forged: hgplatform.Forged(q.Header),
+		Replica: r.Entry.ID, Incarnation: r.incarnation(), Leaving: answer.Leaving, Attempt: a.ID, Program: a.Program, URI: q.RequestURI, At: time.Now(), Forged: hgplatform.Forged(q.Header),
 		LastEvent: a.LastEvent, Deadline: a.Deadline, FetchFrom: hgplatform.FetchFrom(q.Header),
 	}
-	f := r.nextFault(run)
+	f := r.takeFault(run)
 	if f.Refuse {
 		answer.NotRun = true
 		hgplatform.EncodeAnswer(w.Header(), answer)
@@ -220,8 +221,8 @@
 	r.mu.Lock()
 	r.runs = append(r.runs, run)
 	r.mu.Unlock()
-	defer r.watch(q.Context())()
-	if f.StrangeRefusal {
+	defer r.watchDisconnect(q.Context())()
+	if f.RefuseWrongAttemptID {
 		hgplatform.EncodeAnswer(w.Header(), hgattempt.Answer{AttemptID: "stranger", NotRun: true})
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -230,11 +231,11 @@
 		<-q.Context().Done()
 		return
 	}
-	if f.Lose {
-		time.Sleep(f.After)
+	if f.DropConnection {
+		time.Sleep(f.DropAfter)
 		panic(http.ErrAbortHandler)
 	}
-	if f.Stranger {
+	if f.WrongAttemptID {
 		answer.AttemptID = "stranger"
 	}
 	answer.Sealed = true
@@ -251,7 +252,7 @@
 	r.stream(w, a, f)
 }
 
-// Event returns the data of an event of any stream.
+// Event returns the data of event i of a stream, counted from 1; it is the same for all streams.
 func Event(i int) string { return fmt.Sprintf("word%d", i) }
 
 func (r *Replica) stream(w http.ResponseWriter, a hgattempt.Attempt, f Fault) {
@@ -263,7 +264,7 @@
 			first++
 		}
 	}
-	if f.Head {
+	if f.CutAfterHeaders {
 		w.WriteHeader(http.StatusOK)
 		if err := flush(); err != nil {
 			return
@@ -273,8 +274,8 @@
 	for i := first; i <= r.events; i++ {
 		r.sleep()
 		event := fmt.Sprintf("id: %d\ndata: %s\n\n", i, Event(i))
-		broken := f.BreakAfter > 0 && i > f.BreakAfter
-		if broken {
+		cut := f.CutAfterEvents > 0 && i > f.CutAfterEvents
+		if cut {
 			event = event[:len(event)/2]
 		}
 		if _, err := io.WriteString(w, event); err != nil {
@@ -283,13 +284,13 @@
 		if err := flush(); err != nil {
 			return
 		}
-		if broken {
+		if cut {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// Output returns the data of a whole stream, as it goes into the next prompt.
+// Output returns the text of a complete stream, in the form in which it becomes part of the next prompt.
 func (r *Replica) Output() string {
 	var b strings.Builder
 	for i := 1; i <= r.events; i++ {
--- a/internal/proof/hgsite/site.go
+++ b/internal/proof/hgsite/site.go
@@ -21,7 +21,7 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// The names of a site's host, services and paths.
+// The host, services, path prefixes and stream sizes of a site.
 const (
 	Host       = "site.example"
 	Engines    = "engines"
@@ -30,32 +30,32 @@
 	ThreadPath = "/thread/"
 	CheckPath  = "/check/"
 	ChargePath = "/charge/"
-	// firstStart numbers the first start of a replica.
+	// firstStart is the number of a replica's first start.
 	firstStart = 1
-	// TokensPerEvent is what each event of a stream counts.
+	// TokensPerEvent is the number of tokens that each event of a stream counts for.
 	TokensPerEvent = 10
 	// Events is the number of events of a stream.
 	Events = 4
 )
 
-// Domains are the failure domains of a site.
+// Domains are the failure domains of a site; VMs and replicas are spread over them in turn.
 var Domains = []string{"north", "south", "west"}
 
-// Site is a store, replicas and entry VMs on loopback.
+// Site is a store, replicas and entry VMs that run on loopback in this process.
 type Site struct {
-	Store    *hgstore.Memory
-	Replicas map[string]*Replica
-	Nodes    []*hgedge.Node
-	Configs  []hgconfig.Entry
-	address  string
-	store    *http.Server
-	// slow is the table whose calls the store answers late, and by how much.
+	Store        *hgstore.Memory
+	Replicas     map[string]*Replica
+	Nodes        []*hgedge.Node
+	Configs      []hgconfig.Entry
+	storeAddress string
+	store        *http.Server
+	// slow is the table for which the store delays its answers; nil if there is none.
 	slow atomic.Pointer[slowTable]
 	log  *slog.Logger
 }
 
-// Desired returns the desired state of a version: a chat that keeps nothing, a thread that keeps its turns, a check that
-// may be repeated and a charge that may not.
+// Desired returns a desired state with four routes: a chat route whose turns are not retained, a thread route whose turns are,
+// an idempotent check route and a charge route that runs each request at most once.
 func Desired(version uint64) *hgdesired.State {
 	route := func(name, path, service string, kind hgdesired.Kind) hgdesired.Route {
 		return hgdesired.Route{
@@ -80,7 +80,7 @@
 	}
 }
 
-// NewSite starts a site with a number of entry VMs, and two engines and two tools.
+// NewSite starts a site with the given number of entry VMs, two engines and two tools. A nil log discards all messages.
 func NewSite(nodes int, log *slog.Logger) (s *Site, err error) {
 	if log == nil {
 		log = hglog.Discard()
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.address = l.Addr().String()
+	s.storeAddress = l.Addr().String()
 	handler := hgplatform.NewStoreHandler(s.Store)
 	s.store = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if slow := s.slow.Load(); slow != nil && r.URL.Query().Get("table") == slow.name {
@@ -123,11 +123,11 @@
 	return s, nil
 }
 
-// AddNode starts one more entry VM, which knows nothing of before.
+// AddNode starts one more entry VM, one that has to load the state of the site before it serves.
 func (s *Site) AddNode() (err error) { return s.addNode(false) }
 
 func (s *Site) addNode(first bool) (err error) {
-	cfg, err := s.AddConfig(s.address)
+	cfg, err := s.AddConfig(s.storeAddress)
 	if err != nil {
 		return err
 	}
@@ -138,8 +138,8 @@
 	return s.StartNode(i)
 }
 
-// Rebirth tells of a replica's next start, under its old identifier and address.
-func (s *Site) Rebirth(id string) (err error) {
+// RegisterRestart registers a new incarnation of a replica under the same identifier and address.
+func (s *Site) RegisterRestart(id string) (err error) {
 	r := s.Replicas[id]
 	r.mu.Lock()
 	r.starts++
@@ -149,18 +149,19 @@
 	return s.Register(e)
 }
 
+// slowTable is a table of the store and the delay of its answers.
 type slowTable struct {
 	name string
 	by   time.Duration
 }
 
-// SetSlow makes the store answer calls about a table late.
+// SetSlow makes the store delay its answers about a table.
 func (s *Site) SetSlow(table string, by time.Duration) { s.slow.Store(&slowTable{table, by}) }
 
-// StoreAddress returns the address of the store.
-func (s *Site) StoreAddress() string { return s.address }
+// StoreAddress returns the host and port of the store, for proxies in front of it.
+func (s *Site) StoreAddress() string { return s.storeAddress }
 
-// AddConfig returns the settings of one more entry VM, which reaches the store at an address and is started elsewhere.
+// AddConfig adds and returns the settings of one more entry VM that uses the given store address. The caller starts the VM.
 func (s *Site) AddConfig(store string) (cfg hgconfig.Entry, err error) {
 	if cfg, err = entryConfig(len(s.Configs), store); err == nil {
 		s.Configs = append(s.Configs, cfg)
@@ -187,7 +188,7 @@
 	return cfg, nil
 }
 
-// StartNode starts an entry VM that is not running.
+// StartNode starts an entry VM that is not running, with its current settings.
 func (s *Site) StartNode(i int) (err error) {
 	n, err := hgedge.NewNode(s.Configs[i], s.log.With("vm", s.Configs[i].VM.Name))
 	if err != nil {
@@ -197,16 +198,16 @@
 	return n.Start()
 }
 
-// RestartNode starts an entry VM again that is not running, as one that knows nothing of before.
+// RestartNode starts an entry VM that was killed. The VM has lost its memory and has to load the state of the site.
 func (s *Site) RestartNode(i int) (err error) {
 	s.Configs[i].VM.FirstStart = false
 	return s.StartNode(i)
 }
 
-// Kill ends an entry VM at once.
+// Kill closes an entry VM immediately, without draining its requests.
 func (s *Site) Kill(i int) { s.Nodes[i].Close() }
 
-// Register writes a replica's registration.
+// Register writes a replica's registration to the store.
 func (s *Site) Register(e hgreplica.Entry) (err error) {
 	value, err := hgplatform.EncodeReplica(e)
 	if err != nil {
@@ -215,8 +216,8 @@
 	return s.put(hgplatform.ReplicaTable+"//"+e.ID, value)
 }
 
-// SetListedLeaving sets whether a replica's registration says that it leaves.
-func (s *Site) SetListedLeaving(id string, leaving bool) (err error) {
+// SetRegisteredLeaving sets whether a replica's registration marks it as leaving.
+func (s *Site) SetRegisteredLeaving(id string, leaving bool) (err error) {
 	r := s.Replicas[id]
 	r.mu.Lock()
 	e := r.Entry
@@ -225,13 +226,13 @@
 	return s.Register(e)
 }
 
-// Unregister removes a replica's registration.
+// Unregister removes a replica's registration from the store.
 func (s *Site) Unregister(id string) (err error) {
 	_, err = s.Store.Commit(context.Background(), hgstore.Txn{Deletes: []string{hgplatform.ReplicaTable + "//" + id}})
 	return err
 }
 
-// SetDesired writes a desired state.
+// SetDesired writes a desired state to the store, from which the entry VMs load it.
 func (s *Site) SetDesired(d *hgdesired.State) (err error) {
 	value, err := hgplatform.EncodeDesired(d)
 	if err != nil {
@@ -245,7 +246,7 @@
 	return err
 }
 
-// WaitReady waits until all running entry VMs are ready and know each other.
+// WaitReady waits until all entry VMs are ready and connected to each other, or returns an error after the limit.
 func (s *Site) WaitReady(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -257,7 +258,7 @@
 	return fmt.Errorf("entry VMs are not ready after %v", limit)
 }
 
-// Runs returns what all replicas of a service have run.
+// Runs returns the requests that the replicas of a service have executed. The order of the replicas is random.
 func (s *Site) Runs(service string) (runs []Run) {
 	for _, r := range s.Replicas {
 		if r.Entry.Service == service {
@@ -267,7 +268,7 @@
 	return runs
 }
 
-// Close ends everything.
+// Close stops the entry VMs, the replicas and the store.
 func (s *Site) Close() {
 	for _, n := range s.Nodes {
 		if n != nil {
--- a/internal/proof/hgsite/status_test.go
+++ b/internal/proof/hgsite/status_test.go
@@ -12,7 +12,8 @@
 	"hyssopgrade/internal/proof/hgsite"
 )
 
-// An entry VM tells operators its desired state, its peers, and of each replica why it is in or out.
+// The status of an entry VM shows the version of its desired state, its peers and, for each replica that gets no requests, the
+// reason.
 func TestStatus(t *testing.T) {
 	s := newSite(t, 2)
 	e := s.Replicas["engine-1"].Entry
@@ -21,19 +22,19 @@
 		t.Fatal(err)
 	}
 	var got hgstatus.Status
-	outs := map[string]string{}
-	for deadline := time.Now().Add(inForce); outs["engine-1"] == "" && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	outReasons := map[string]string{}
+	for deadline := time.Now().Add(applyLimit); outReasons["engine-1"] == "" && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		var err error
 		if got, err = hgstatus.Get(t.Context(), s.Configs[0].Listen.Metrics); err != nil {
 			t.Fatal(err)
 		}
 		for _, service := range got.Services {
 			for _, r := range service.Replicas {
-				outs[r.ID] = r.Out
+				outReasons[r.ID] = r.Out
 			}
 		}
 	}
-	if diff := cmp.Diff(map[string]string{"engine-0": "", "engine-1": "leaving", "tool-0": "", "tool-1": ""}, outs); diff != "" {
+	if diff := cmp.Diff(map[string]string{"engine-0": "", "engine-1": "leaving", "tool-0": "", "tool-1": ""}, outReasons); diff != "" {
 		t.Errorf("replicas (-want +got):\n%s", diff)
 	}
 	if got.VM != "vm-0" || got.Version != 1 || !got.StoreOK || got.Placer != "vm-0" || len(got.Peers) != 1 || !got.Peers[0].Live {
@@ -48,7 +49,7 @@
 	}
 }
 
-// All programs of a play end, also while a VM stops in their middle.
+// All programs of a play complete or exhaust their budgets while a VM stops gracefully in the middle.
 func TestPlay(t *testing.T) {
 	s := newSite(t, 4)
 	time.AfterFunc(700*time.Millisecond, s.Nodes[1].Stop)
--- a/internal/proof/hgsoak/caller.go
+++ b/internal/proof/hgsoak/caller.go
@@ -99,5 +99,5 @@
 	reply, err := s.site.Call(ctx, vm, q)
 	s.check.answered(q, repeatable, reply, err)
 	s.check.passed(q.ID, way, reply, err)
-	return reply, err == nil && reply.Status == http.StatusOK && reply.Whole
+	return reply, err == nil && reply.Status == http.StatusOK && reply.Complete
 }
--- a/internal/proof/hgsoak/check.go
+++ b/internal/proof/hgsoak/check.go
@@ -62,10 +62,10 @@
 			return
 		}
 	}
-	if reply.Status == 200 && reply.Whole && q.HasBudget && len(reply.Events) != hgsite.Events {
+	if reply.Status == 200 && reply.Complete && q.HasBudget && len(reply.Events) != hgsite.Events {
 		c.violate("attempt %s looks whole with %d events", q.ID, len(reply.Events))
 	}
-	if reply.Status == 200 && !q.HasBudget && reply.Whole && !strings.HasSuffix(reply.Body, q.ID) {
+	if reply.Status == 200 && !q.HasBudget && reply.Complete && !strings.HasSuffix(reply.Body, q.ID) {
 		c.violate("attempt %s got the answer %q", q.ID, reply.Body)
 	}
 }
--- a/internal/proof/hgsoak/fault.go
+++ b/internal/proof/hgsoak/fault.go
@@ -80,7 +80,7 @@
 	{"replica", func(s *soak, r *rand.Rand) func() {
 		rep := s.site.Replicas[[]string{"engine-0", "engine-1", "tool-0", "tool-1"}[r.IntN(4)]]
 		rep.SetFault([]hgsite.Fault{
-			{Left: 10, Refuse: true}, {Left: 6, Lose: true}, {Left: 6, BreakAfter: 2}, {Left: 6, Head: true}, {Left: 4, Stranger: true},
+			{Remaining: 10, Refuse: true}, {Remaining: 6, DropConnection: true}, {Remaining: 6, CutAfterEvents: 2}, {Remaining: 6, CutAfterHeaders: true}, {Remaining: 4, WrongAttemptID: true},
 		}[r.IntN(5)])
 		return func() { rep.SetFault(hgsite.Fault{}) }
 	}},
@@ -89,13 +89,13 @@
 		s.site.Replicas[id].SetLeaving(true)
 		return func() {
 			s.site.Replicas[id].SetLeaving(false)
-			s.note(s.site.Rebirth(id))
+			s.note(s.site.RegisterRestart(id))
 		}
 	}},
 	{"leaving replica", func(s *soak, r *rand.Rand) func() {
 		id := []string{"engine-0", "tool-0"}[r.IntN(2)]
-		s.note(s.site.SetListedLeaving(id, true))
-		return func() { s.note(s.site.SetListedLeaving(id, false)) }
+		s.note(s.site.SetRegisteredLeaving(id, true))
+		return func() { s.note(s.site.SetRegisteredLeaving(id, false)) }
 	}},
 }
 
--- a/internal/proof/hgsoak/leaving.go
+++ b/internal/proof/hgsoak/leaving.go
@@ -41,7 +41,7 @@
 	words := map[told]time.Time{}
 	of := func(r hgsite.Run) told {
 		w := c.ways[r.Attempt]
-		return told{w.vm, w.run, r.Replica, r.Born}
+		return told{w.vm, w.run, r.Replica, r.Incarnation}
 	}
 	for _, r := range runs {
 		// A stream that went on at another replica bears the head of the first one.
--- a/internal/proof/hgsoak/soak.go
+++ b/internal/proof/hgsoak/soak.go
@@ -68,7 +68,7 @@
 		callers.Go(func() { s.caller(calling, rand.New(rand.NewPCG(o.Seed, uint64(i+1)))) })
 	}
 	for _, r := range s.site.Replicas {
-		r.SetGuilty(isGuilty)
+		r.SetCrashing(isGuilty)
 	}
 	callers.Go(func() { s.guilty(calling, rand.New(rand.NewPCG(o.Seed, guiltyStream))) })
 	s.inject(faulty, rand.New(rand.NewPCG(o.Seed, 0)))
@@ -143,7 +143,7 @@
 	for i := range s.procs {
 		for {
 			reply, err := s.site.Call(ctx, i, hgsite.Turn(hgsite.ThreadPath, fmt.Sprint("last", i), "", "x"))
-			if err == nil && reply.Status == http.StatusOK && reply.Whole {
+			if err == nil && reply.Status == http.StatusOK && reply.Complete {
 				break
 			}
 			if time.Now().After(deadline) {
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -108,7 +108,7 @@
   internal/serve/hgsuspect/exchange.go 's/if offer\.Print != l\.print \{/if false {/'
 red crashRows TestCrashingRequestOverTotalLoss internal/proof/hgsite \
   internal/operate/hgedge/suspect.go 's/s\.Load\(records\)/_ = records/'
-red crashCaller TestInnocentsBesideCrashingRequestAreServed internal/proof/hgsite \
+red crashCaller TestOtherRequestsServedBesideCrashingRequest internal/proof/hgsite \
   internal/serve/hgsuspect/request.go 's/return \[\]uint64\{r\.Content, r\.Caller\}/return []uint64{r.Content}/'
 red crashAgain TestCrashingCopiesUnderWayAreCheckedAgain internal/proof/hgsite \
   internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.suspect\); refused/refused := x.entry.suspects.Refused(x.suspect); refused \&\& false/'
@@ -130,7 +130,7 @@
   internal/serve/hgplacer/placer.go 's/now >= h\.until/false/'
 red placerDies TestPlacerDies internal/proof/hgsite \
   internal/peer/hgpeer/places.go 's/left\(hgreplica\.Outcome\{\}\)\n\t\treturn p\.pick\(a\)\n\tcase reply/return nil, hgplacer.Expired\n\tcase reply/'
-red errors TestFailingReplicaDrawsFew internal/proof/hgsite \
+red errors TestFailingReplicaGetsFewRequests internal/proof/hgsite \
   internal/serve/hgreplica/set.go 's/r\.streak\+\+\n\tswitch/switch/'
 red fetch TestHelpersFetch internal/proof/hgsite \
   platform/request.go 's/h\.Set\(headerFetch, s\.FetchFrom\)/_ = s/'
