--- a/internal/proof/hgsoak/caller.go
+++ b/internal/proof/hgsoak/caller.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxTurns is the most turns of a program.
+	// maxTurns is the maximum number of turns of a thread; a chat may have about twice as many.
 	maxTurns = 8
-	// think is the longest pause between two turns.
-	think = 60 * time.Millisecond
-	// callTime bounds a request of a caller.
-	callTime = 6 * time.Second
-	// tightShare is the share of programs whose budget holds a few turns only.
+	// maxThinkTime is the longest pause of a caller before a request.
+	maxThinkTime = 60 * time.Millisecond
+	// callTimeout is the time after which a caller abandons a request.
+	callTimeout = 6 * time.Second
+	// tightShare is the share of chats whose budget is exhausted after a few turns.
 	tightShare = 0.2
 )
 
-// caller runs one program after another.
+// caller runs one program after another until the context ends.
 func (s *soak) caller(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -37,26 +37,26 @@
 	}
 }
 
-// thread runs a program whose turns are kept, each through any entry VM.
+// thread runs a program whose turns are retained, sending each turn through a random entry VM.
 func (s *soak) thread(ctx context.Context, r *rand.Rand, program string) {
-	previous, said := "", ""
+	previous, history := "", ""
 	output := s.site.Replicas["engine-0"].Output()
 	for turn := 0; turn < 1+r.IntN(maxTurns) && ctx.Err() == nil; turn++ {
 		q := hgsite.Turn(hgsite.ThreadPath, program, previous, fmt.Sprintf("%s-%d ", program, turn))
-		s.check.prompt(q.ID, said+q.Body)
+		s.check.expectPrompt(q.ID, history+q.Body)
 		reply, ok := s.call(ctx, r, q, false)
 		if reply.Status == http.StatusNotFound {
-			s.check.lost(q.ID, previous)
+			s.check.turnDenied(q.ID, previous)
 			return
 		}
 		if ok {
-			previous, said = q.ID, said+q.Body+output
+			previous, history = q.ID, history+q.Body+output
 		}
 		s.tool(ctx, r)
 	}
 }
 
-// chat runs a program that keeps nothing and may have a tight budget.
+// chat runs a program whose turns are not retained; its budget may be tight.
 func (s *soak) chat(ctx context.Context, r *rand.Rand, program string) {
 	tight := r.Float64() < tightShare
 	for turn := 0; turn < 2+r.IntN(2*maxTurns) && ctx.Err() == nil; turn++ {
@@ -70,7 +70,7 @@
 	}
 }
 
-// tool sends a check or a charge.
+// tool sends a check, which may be repeated, or a charge, which may not.
 func (s *soak) tool(ctx context.Context, r *rand.Rand) {
 	q := hgsite.Request{Path: hgsite.ChargePath + "x", Body: hgsite.NewAttempt()}
 	repeatable := r.IntN(2) == 0
@@ -81,23 +81,24 @@
 	_, _ = s.call(ctx, r, q, repeatable)
 }
 
-// call sends a request through any entry VM and notes the answer; ok says that it was whole.
+// call sends a request through a random entry VM and records the answer; ok reports whether it was complete. Some requests
+// carry forged headers, and some callers disconnect within 50 ms.
 func (s *soak) call(ctx context.Context, r *rand.Rand, q hgsite.Request, repeatable bool) (reply hgsite.Reply, ok bool) {
-	time.Sleep(time.Duration(r.Int64N(int64(think))))
+	time.Sleep(time.Duration(r.Int64N(int64(maxThinkTime))))
 	if r.IntN(20) == 0 {
 		q.Header = http.Header{}
 		hgplatform.Forge(q.Header)
 	}
-	limit := callTime
+	limit := callTimeout
 	if r.IntN(30) == 0 {
 		limit = time.Duration(r.Int64N(int64(50 * time.Millisecond)))
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
 	vm := r.IntN(len(s.procs))
-	way := way{vm: vm, run: s.procs[vm].run.Load(), sent: time.Now()}
+	rt := route{vm: vm, generation: s.procs[vm].generation.Load(), sent: time.Now()}
 	reply, err := s.site.Call(ctx, vm, q)
-	s.check.answered(q, repeatable, reply, err)
-	s.check.passed(q.ID, way, reply, err)
+	s.check.recordAnswer(q, repeatable, reply, err)
+	s.check.recordRoute(q.ID, rt, reply, err)
 	return reply, err == nil && reply.Status == http.StatusOK && reply.Complete
 }
--- a/internal/proof/hgsoak/doc.go
+++ b/internal/proof/hgsoak/doc.go
@@ -1,2 +1,2 @@
-// Package hgsoak runs entry VMs as processes under random faults and checks what callers and replicas see.
+// Package hgsoak runs entry VMs as processes under random faults, and checks what callers are told against what replicas run.
 package hgsoak
--- a/internal/proof/hgsoak/fault.go
+++ b/internal/proof/hgsoak/fault.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// faultPause is the longest time between two faults, and faultTime the longest that one lasts.
-	faultPause = 900 * time.Millisecond
-	faultTime  = 2500 * time.Millisecond
-	// graceTime is the time that a process has to stop.
-	graceTime = 9 * time.Second
-	// storeParts is the number of parts of which some fall silent.
+	// maxFaultPause is the longest time between the starts of two faults, and maxFaultDuration the longest duration of one.
+	maxFaultPause    = 900 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
+	// stopTimeout is the time that a process has for a graceful stop.
+	stopTimeout = 9 * time.Second
+	// storeParts is the number of parts of the store, of which a fault makes some unresponsive.
 	storeParts = 16
 )
 
-// fault does something and returns what ends it.
+// fault is a kind of fault; start begins one and returns the function that ends it.
 type fault struct {
 	name  string
 	start func(s *soak, r *rand.Rand) (end func())
 }
 
-// faults are the kinds that a soak draws from; several may be in force at once.
+// faults are the kinds that a soak draws from; several may be active at once. Reordering them changes the runs of all seeds.
 var faults = []fault{
 	{"kill", func(s *soak, r *rand.Rand) func() {
 		p := s.procs[r.IntN(len(s.procs))]
@@ -48,12 +48,12 @@
 	}},
 	{"stop", func(s *soak, r *rand.Rand) func() {
 		p := s.procs[r.IntN(len(s.procs))]
-		p.end(syscall.SIGTERM, graceTime)
+		p.end(syscall.SIGTERM, stopTimeout)
 		return func() { s.restart(p) }
 	}},
 	{"freeze", func(s *soak, r *rand.Rand) func() {
 		p := s.procs[r.IntN(len(s.procs))]
-		p.run.Add(1)
+		p.generation.Add(1)
 		p.signal(syscall.SIGSTOP)
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
@@ -63,8 +63,8 @@
 	}},
 	{"cut from the store", func(s *soak, r *rand.Rand) func() {
 		p := s.proxies[r.IntN(len(s.proxies))]
-		p.Set([]Mode{Delay, Reset, Silent, OneWay}[r.IntN(4)])
-		return func() { p.Set(Pass) }
+		p.SetMode([]Mode{Delay, Reset, Silent, OneWay}[r.IntN(4)])
+		return func() { p.SetMode(Pass) }
 	}},
 	{"store", func(s *soak, r *rand.Rand) func() {
 		s.site.Store.SetFault([]hgstore.Fault{
@@ -89,41 +89,41 @@
 		s.site.Replicas[id].SetLeaving(true)
 		return func() {
 			s.site.Replicas[id].SetLeaving(false)
-			s.note(s.site.RegisterRestart(id))
+			s.countSetupError(s.site.RegisterRestart(id))
 		}
 	}},
 	{"leaving replica", func(s *soak, r *rand.Rand) func() {
 		id := []string{"engine-0", "tool-0"}[r.IntN(2)]
-		s.note(s.site.SetRegisteredLeaving(id, true))
-		return func() { s.note(s.site.SetRegisteredLeaving(id, false)) }
+		s.countSetupError(s.site.SetRegisteredLeaving(id, true))
+		return func() { s.countSetupError(s.site.SetRegisteredLeaving(id, false)) }
 	}},
 }
 
-// note counts what could not be set up, as a store that is down refuses the operators as well.
-func (s *soak) note(err error) {
+// countSetupError counts a fault that could not be started or ended, for instance because the store was down.
+func (s *soak) countSetupError(err error) {
 	if err != nil {
 		s.faults["not set up"]++
 	}
 }
 
-func (s *soak) restart(p *process) { s.note(p.start()) }
+func (s *soak) restart(p *process) { s.countSetupError(p.start()) }
 
-// inject plays faults until the context ends, and ends them all.
+// inject starts random faults until the context ends, and then ends the active ones.
 func (s *soak) inject(ctx context.Context, r *rand.Rand) {
-	type running struct {
+	type activeFault struct {
 		until time.Time
 		end   func()
 	}
-	var open []running
+	var active []activeFault
 	for ctx.Err() == nil {
 		f := faults[r.IntN(len(faults))]
 		s.faults[f.name]++
-		open = append(open, running{time.Now().Add(time.Duration(r.Int64N(int64(faultTime)))), f.start(s, r)})
+		active = append(active, activeFault{time.Now().Add(time.Duration(r.Int64N(int64(maxFaultDuration)))), f.start(s, r)})
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(r.Int64N(int64(faultPause)))):
+		case <-time.After(time.Duration(r.Int64N(int64(maxFaultPause)))):
 		}
-		open = lo.Filter(open, func(f running, _ int) bool {
+		active = lo.Filter(active, func(f activeFault, _ int) bool {
 			if time.Now().Before(f.until) {
 				return true
 			}
@@ -132,7 +132,7 @@
 		})
 	}
 	s.site.Store.SetFault(hgstore.Fault{})
-	for _, f := range open {
+	for _, f := range active {
 		f.end()
 	}
 }
--- a/internal/proof/hgsoak/leaving.go
+++ b/internal/proof/hgsoak/leaving.go
@@ -8,50 +8,54 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// drainTime is the time after which a VM that has passed on an answer of a replica that leaves sends nothing more there.
+// drainTime is the time after which a VM must send no more requests to a replica, counted from the first answer of the replica
+// through the VM that announced that it is leaving.
 const drainTime = time.Second
 
-// way is how an attempt went.
-type way struct {
-	// vm is the entry VM, and run counts its starts and freezes.
-	vm   int
-	run  int64
+// route records how an attempt entered the site.
+type route struct {
+	// vm is the index of the entry VM, and generation counts the VM's starts and freezes.
+	vm         int
+	generation int64
+	// sent is the time at which the caller sent the attempt.
 	sent time.Time
 }
 
-// passed takes through which entry VM an attempt went, and whether the answer tells that its replica leaves.
-func (c *checker) passed(attempt string, w way, reply hgsite.Reply, err error) {
+// recordRoute records which entry VM an attempt went through, and the time if the answer announced that the replica is leaving.
+func (c *checker) recordRoute(attempt string, rt route, reply hgsite.Reply, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ways[attempt] = w
+	c.routes[attempt] = rt
 	if err == nil && (hgplatform.Dialect{}).DecodeAnswer(http.StatusOK, reply.Header).Leaving {
-		c.words[attempt] = time.Now()
+		c.leavingAt[attempt] = time.Now()
 	}
 }
 
-// told is what a run of an entry VM has heard of a run of a replica.
-type told struct {
-	vm            int
-	run           int64
-	replica, born string
+// vmReplica identifies an entry VM and a replica, each between two of its starts. What the VM knows of the replica ends with
+// either.
+type vmReplica struct {
+	vm                   int
+	generation           int64
+	replica, incarnation string
 }
 
-// checkLeaving looks for requests that reached a replica later than its word that it leaves allows; c.mu is held.
+// checkLeaving checks that no request sent later than drainTime after a leaving announcement reached that replica through the
+// same VM; c.mu is held.
 func (c *checker) checkLeaving(runs []hgsite.Run) {
-	words := map[told]time.Time{}
-	of := func(r hgsite.Run) told {
-		w := c.ways[r.Attempt]
-		return told{w.vm, w.run, r.Replica, r.Incarnation}
+	leavingAt := map[vmReplica]time.Time{}
+	key := func(r hgsite.Run) vmReplica {
+		rt := c.routes[r.Attempt]
+		return vmReplica{rt.vm, rt.generation, r.Replica, r.Incarnation}
 	}
 	for _, r := range runs {
-		// A stream that went on at another replica bears the head of the first one.
-		if at, ok := c.words[r.Attempt]; ok && r.Leaving && (words[of(r)].IsZero() || at.Before(words[of(r)])) {
-			words[of(r)] = at
+		// A stream resumed at another replica has the headers of the first replica's answer, so r.Leaving is checked as well.
+		if at, ok := c.leavingAt[r.Attempt]; ok && r.Leaving && (leavingAt[key(r)].IsZero() || at.Before(leavingAt[key(r)])) {
+			leavingAt[key(r)] = at
 		}
 	}
 	for _, r := range runs {
-		at, ok := words[of(r)]
-		if sent := c.ways[r.Attempt].sent; ok && sent.Sub(at) > drainTime {
+		at, ok := leavingAt[key(r)]
+		if sent := c.routes[r.Attempt].sent; ok && sent.Sub(at) > drainTime {
 			c.violate("attempt %s reached %s %v after its word that it leaves", r.Attempt, r.Replica, sent.Sub(at))
 		}
 	}
--- a/internal/proof/hgsoak/process.go
+++ b/internal/proof/hgsoak/process.go
@@ -15,26 +15,26 @@
 	"hyssopgrade/internal/operate/hgconfig"
 )
 
-// process is an entry VM as a process of its own.
+// process runs an entry VM as a child process.
 type process struct {
 	binary, dir string
 	cfg         hgconfig.Entry
-	// onOwnEnd is told when the process ends by itself, and after what time; it is then started again.
-	onOwnEnd func(ran time.Duration)
+	// onUnexpectedExit is called with the process's run time when it exits by itself; the process is then started again.
+	onUnexpectedExit func(ran time.Duration)
 
-	// run counts starts and freezes, after which the process may have forgotten what it knew.
-	run atomic.Int64
+	// generation counts starts and freezes, after which the process may have lost its state or let it expire.
+	generation atomic.Int64
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	done   chan struct{}
-	ending bool
+	mu       sync.Mutex
+	cmd      *exec.Cmd
+	done     chan struct{}
+	stopping bool
 }
 
-// restartAfter is the pause before a process that ended by itself is started again.
+// restartAfter is the delay before a process that exited by itself is started again.
 const restartAfter = 200 * time.Millisecond
 
-// start writes the settings and starts the process, if it does not run.
+// start writes the settings file and starts the process, unless it is running.
 func (p *process) start() (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,33 +58,33 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.run.Add(1)
-	p.cmd, p.done, p.ending = cmd, make(chan struct{}), false
+	p.generation.Add(1)
+	p.cmd, p.done, p.stopping = cmd, make(chan struct{}), false
 	go p.wait(cmd, out, p.done)
 	return nil
 }
 
-// wait waits for the end of the process, and starts it again if it ended by itself.
+// wait waits until the process exits, and starts it again if it exited by itself.
 func (p *process) wait(cmd *exec.Cmd, out *os.File, done chan struct{}) {
 	began := time.Now()
 	_ = cmd.Wait()
 	_ = out.Close()
 	p.mu.Lock()
 	p.cmd = nil
-	own := !p.ending
+	unexpected := !p.stopping
 	p.mu.Unlock()
 	close(done)
-	if !own {
+	if !unexpected {
 		return
 	}
-	p.onOwnEnd(time.Since(began))
+	p.onUnexpectedExit(time.Since(began))
 	time.Sleep(restartAfter)
 	if err := p.start(); err != nil {
-		p.onOwnEnd(0)
+		p.onUnexpectedExit(0)
 	}
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,11 +93,11 @@
 	}
 }
 
-// end stops the process with a signal and waits until it is gone, at most for a time; then it is killed.
+// end stops the process with a signal, waits for it to exit and kills it when the limit has passed.
 func (p *process) end(s syscall.Signal, limit time.Duration) {
 	p.mu.Lock()
 	done, running := p.done, p.cmd != nil
-	p.ending = true
+	p.stopping = true
 	p.mu.Unlock()
 	if !running {
 		return
--- a/internal/proof/hgsoak/proxy.go
+++ b/internal/proof/hgsoak/proxy.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Mode is how a proxy treats what passes through it.
+// Mode is how a proxy treats the bytes and connections that go through it.
 type Mode int
 
 // The modes of a proxy.
 const (
-	// Pass passes everything on.
+	// Pass forwards everything.
 	Pass Mode = iota
-	// Delay passes everything on late.
+	// Delay forwards everything after a delay.
 	Delay
-	// Reset breaks all connections and refuses new ones.
+	// Reset resets all connections, including new ones.
 	Reset
-	// Silent passes nothing on and keeps connections open.
+	// Silent drops all bytes and keeps connections open.
 	Silent
-	// OneWay passes requests on and no answers.
+	// OneWay forwards requests and drops answers.
 	OneWay
 )
 
-// delay is what Delay adds to each piece.
+// delay is the time by which Delay holds back each chunk of bytes read.
 const delay = 150 * time.Millisecond
 
-// Proxy is a TCP proxy on loopback that misbehaves on demand.
+// Proxy is a TCP proxy on loopback that injects network faults according to its mode.
 type Proxy struct {
 	target string
 	l      net.Listener
@@ -37,7 +37,7 @@
 	conns map[net.Conn]bool
 }
 
-// NewProxy starts a proxy in front of an address.
+// NewProxy starts a proxy that forwards to a target address.
 func NewProxy(target string) (p *Proxy, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,11 +48,11 @@
 	return p, nil
 }
 
-// Address returns the proxy's own address.
+// Address returns the host and port that the proxy listens on.
 func (p *Proxy) Address() string { return p.l.Addr().String() }
 
-// Set changes the mode.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode, also of open connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -63,18 +63,19 @@
 	}
 }
 
-func (p *Proxy) now() Mode {
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.l.Close()
-	p.Set(Reset)
+	p.SetMode(Reset)
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -88,7 +89,7 @@
 		if err != nil {
 			return
 		}
-		if p.now() == Reset {
+		if p.currentMode() == Reset {
 			reset(in)
 			continue
 		}
@@ -100,13 +101,13 @@
 		p.mu.Lock()
 		p.conns[in], p.conns[out] = true, true
 		p.mu.Unlock()
-		go p.copy(out, in, true)
-		go p.copy(in, out, false)
+		go p.relay(out, in, true)
+		go p.relay(in, out, false)
 	}
 }
 
-// copy passes pieces on as the mode says, until one side ends.
-func (p *Proxy) copy(to, from net.Conn, request bool) {
+// relay forwards chunks as the mode says until one side closes; request says whether they go to the target.
+func (p *Proxy) relay(to, from net.Conn, request bool) {
 	defer func() {
 		p.mu.Lock()
 		delete(p.conns, from)
@@ -117,7 +118,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(to, buf[:n], request) {
+		if n > 0 && !p.forward(to, buf[:n], request) {
 			return
 		}
 		if err != nil {
@@ -126,8 +127,9 @@
 	}
 }
 
-func (p *Proxy) pass(to io.Writer, piece []byte, request bool) bool {
-	switch mode := p.now(); {
+// forward writes a chunk as the mode says and reports whether the connection goes on.
+func (p *Proxy) forward(to io.Writer, chunk []byte, request bool) bool {
+	switch mode := p.currentMode(); {
 	case mode == Reset:
 		return false
 	case mode == Silent, mode == OneWay && !request:
@@ -135,6 +137,6 @@
 	case mode == Delay:
 		time.Sleep(delay)
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err == nil
 }
--- a/internal/proof/hgsoak/soak.go
+++ b/internal/proof/hgsoak/soak.go
@@ -13,27 +13,27 @@
 	"hyssopgrade/internal/proof/hgsite"
 )
 
-// Options say how a soak runs.
+// Options configure a soak.
 type Options struct {
-	// Binary is the program under test, and Dir the folder for settings and logs.
+	// Binary is the path of the program under test, and Dir the directory for settings and logs.
 	Binary, Dir string
 	Seed        uint64
-	// For is the time under faults.
+	// For is the duration of the phase with faults.
 	For time.Duration
-	// VMs is the number of entry VMs, and Callers that of callers.
+	// VMs is the number of entry VMs, and Callers the number of concurrent callers.
 	VMs, Callers int
 }
 
-// Report is the outcome of a soak.
+// Report holds the violations that a soak found and the counts of what it did.
 type Report struct {
 	Violations []string
-	// Counts are the answers by status, and Faults the faults by kind.
+	// Counts holds the answers by status beside further counts such as OwnEnds, and Faults the faults by kind.
 	Counts, Faults map[string]int
 	Programs       int
 }
 
-// recoverTime is the time after the last fault in which all must be served again.
-const recoverTime = 15 * time.Second
+// recoveryLimit is the time after the last fault within which all entry VMs must serve again.
+const recoveryLimit = 15 * time.Second
 
 type soak struct {
 	opts    Options
@@ -47,7 +47,8 @@
 	programs int
 }
 
-// Run starts a site with entry VMs as processes, plays faults drawn from the seed, and checks what is seen.
+// Run starts a site with entry VMs as processes, injects faults drawn from the seed while callers send requests, and reports
+// violations. An error means that the soak could not run.
 func Run(ctx context.Context, o Options) (r Report, err error) {
 	defer func() { err = trace.Wrap(err, "soak with seed %d", o.Seed) }()
 	s := &soak{opts: o, check: newChecker(), faults: map[string]int{}}
@@ -68,21 +69,21 @@
 		callers.Go(func() { s.caller(calling, rand.New(rand.NewPCG(o.Seed, uint64(i+1)))) })
 	}
 	for _, r := range s.site.Replicas {
-		r.SetCrashing(isGuilty)
+		r.SetCrashing(isCrashing)
 	}
-	callers.Go(func() { s.guilty(calling, rand.New(rand.NewPCG(o.Seed, guiltyStream))) })
+	callers.Go(func() { s.sendCrashing(calling, rand.New(rand.NewPCG(o.Seed, crashingRandStream))) })
 	s.inject(faulty, rand.New(rand.NewPCG(o.Seed, 0)))
 	stopCalling()
 	callers.Wait()
-	s.recovered(ctx)
-	s.checkGuilty(ctx)
+	s.checkRecovered(ctx)
+	s.checkCrashing(ctx)
 	return Report{
 		Violations: s.check.finish(append(s.site.Runs(hgsite.Engines), s.site.Runs(hgsite.Tools)...)),
 		Counts:     s.check.counts, Faults: s.faults, Programs: s.programs,
 	}, nil
 }
 
-// start starts the entry VMs, each behind a proxy of its own to the store.
+// start starts the entry VMs, each with its own proxy to the store, and waits until they serve.
 func (s *soak) start() (err error) {
 	for i := range s.opts.VMs {
 		proxy, err := NewProxy(s.site.StoreAddress())
@@ -94,14 +95,14 @@
 			return err
 		}
 		s.proxies = append(s.proxies, proxy)
-		s.procs = append(s.procs, &process{binary: s.opts.Binary, dir: s.opts.Dir, cfg: cfg, onOwnEnd: func(ran time.Duration) {
-			s.check.ownEnd(cfg.VM.Name, ran)
+		s.procs = append(s.procs, &process{binary: s.opts.Binary, dir: s.opts.Dir, cfg: cfg, onUnexpectedExit: func(ran time.Duration) {
+			s.check.unexpectedExit(cfg.VM.Name, ran)
 		}})
 		if err := s.procs[i].start(); err != nil {
 			return err
 		}
 	}
-	return s.wait(recoverTime)
+	return s.waitServing(recoveryLimit)
 }
 
 func (s *soak) stop() {
@@ -113,8 +114,8 @@
 	}
 }
 
-// wait waits until each entry VM serves a charge.
-func (s *soak) wait(limit time.Duration) error {
+// waitServing waits until each entry VM serves a check.
+func (s *soak) waitServing(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for i := range s.procs {
 		for {
@@ -131,15 +132,15 @@
 	return nil
 }
 
-// recovered checks that all is served again after the faults.
-func (s *soak) recovered(ctx context.Context) {
-	if err := s.wait(recoverTime); err != nil {
+// checkRecovered checks that every entry VM serves checks and retained turns again after the faults.
+func (s *soak) checkRecovered(ctx context.Context) {
+	if err := s.waitServing(recoveryLimit); err != nil {
 		s.check.mu.Lock()
 		s.check.violate("%v", err)
 		s.check.mu.Unlock()
 		return
 	}
-	deadline := time.Now().Add(recoverTime)
+	deadline := time.Now().Add(recoveryLimit)
 	for i := range s.procs {
 		for {
 			reply, err := s.site.Call(ctx, i, hgsite.Turn(hgsite.ThreadPath, fmt.Sprint("last", i), "", "x"))
@@ -148,7 +149,7 @@
 			}
 			if time.Now().After(deadline) {
 				s.check.mu.Lock()
-				s.check.violate("entry VM %d keeps no turn %v after the last fault: status %d, %v", i, recoverTime, reply.Status, err)
+				s.check.violate("entry VM %d keeps no turn %v after the last fault: status %d, %v", i, recoveryLimit, reply.Status, err)
 				s.check.mu.Unlock()
 				return
 			}
--- a/internal/proof/hgsoak/soak_test.go
+++ b/internal/proof/hgsoak/soak_test.go
@@ -10,13 +10,13 @@
 	"hyssopgrade/internal/proof/hgsoak"
 )
 
-// seeds are played in each run; those that ever failed stay, each with a line on its cause.
+// seeds are run every time. A seed that has failed once stays in the list, with the cause.
 var seeds = []uint64{
 	1,
-	27, // A hang-up soon after the start ended the process (TestHangUpAtStart); so did 29.
+	27, // A SIGHUP soon after the start ended the process (TestHangUpAtStart); seed 29 failed in the same way.
 }
 
-// shortSoak is the time under faults in CI.
+// shortSoak is the duration of the phase with faults in CI.
 const shortSoak = 12 * time.Second
 
 func TestSoak(t *testing.T) {
