--- a/internal/proof/hgcell/cell.go
+++ b/internal/proof/hgcell/cell.go
@@ -21,38 +21,42 @@
 	"hyssopgrade/internal/serve/hgcaller"
 )
 
-// Domains are the failure domains of a cell.
+// Domains are the failure domains over which a cell's nodes and endpoints are spread in turn.
 var Domains = []string{"hobart", "launceston", "burnie"}
 
-// Options set up a Cell.
+// Options configures a Cell.
 type Options struct {
+	// Nodes, Engines and Tools are the numbers of nodes, model engines and tool services.
 	Nodes   int
 	Engines int
 	Tools   int
-	// Models and Services are what each engine and each tool serves.
+	// Models and Services are the targets that every engine and every tool serves.
 	Models   []string
 	Services []string
-	Engine   hgstandin.Options
-	Log      *slog.Logger
-	// Change changes each node's settings, if set.
-	Change func(cfg *hgconfig.Config)
-	// Dial returns how a node connects to its peers, if set.
+	// Engine configures all endpoints, engines and tools alike.
+	Engine hgstandin.Options
+	Log    *slog.Logger
+	// EditConfig changes a node's settings before the node starts. It may be nil.
+	EditConfig func(cfg *hgconfig.Config)
+	// Dial returns the function that a node uses to connect to its peers. If nil, nodes connect over TCP as in production.
 	Dial func(node string) hginner.Dial
 }
 
-// Cell is a running cell.
+// Cell is a running cell in this process.
 type Cell struct {
-	Platform  *hgstandin.Platform
+	Platform *hgstandin.Platform
+	// Endpoints holds the engines and tools by identifier, such as engine-0 and tool-2.
 	Endpoints map[string]*hgstandin.Endpoint
 	Nodes     []*hgnode.Node
-	Configs   []hgconfig.Config
-	opts      Options
+	// Configs holds the settings of Nodes, in the same order.
+	Configs []hgconfig.Config
+	opts    Options
 }
 
-// key is the shared key of a cell in one process.
+// key is the key with which the nodes authenticate to each other.
 const key = "key-of-a-cell-in-one-process"
 
-// NewCell starts a cell on loopback addresses.
+// NewCell starts the platform, the endpoints and the nodes of a cell on loopback addresses. Call WaitReady before sending calls.
 func NewCell(opts Options) (c *Cell, err error) {
 	defer func() { err = trace.Wrap(err, "start cell") }()
 	c = &Cell{opts: opts, Endpoints: map[string]*hgstandin.Endpoint{}}
@@ -78,6 +82,7 @@
 	return c, nil
 }
 
+// startEndpoints starts the engines and tools and returns their settings for the nodes.
 func (c *Cell) startEndpoints() (eps []hgconfig.Endpoint, err error) {
 	add := func(id string, i int, kind hgconfig.EndpointKind, targets []string) error {
 		e, err := hgstandin.NewEndpoint("127.0.0.1:0", c.opts.Engine)
@@ -118,20 +123,20 @@
 	if cfg.Node.Inner, err = FreeAddress(); err != nil {
 		return cfg, err
 	}
-	if c.opts.Change != nil {
-		c.opts.Change(&cfg)
+	if c.opts.EditConfig != nil {
+		c.opts.EditConfig(&cfg)
 	}
 	return cfg, nil
 }
 
-// hosts counts the loopback hosts that this process has used.
-var hosts atomic.Uint32
+// loopbackHosts counts the loopback addresses that FreeAddress has used in this process.
+var loopbackHosts atomic.Uint32
 
-// FreeAddress returns an address that nothing listens at. Its host is a loopback address of its own where the system has
-// one, as the kernel may give a port of 127.0.0.1 to any outgoing connection before the port is used.
+// FreeAddress returns an address that nothing listens at. Each call uses another host of 127.0.0.0/8, because the kernel may give a
+// free port of 127.0.0.1 to an outgoing connection before the caller listens at it. Where the system has only 127.0.0.1, it uses that.
 func FreeAddress() (address string, err error) {
 	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%254, pid&0xff, 1+hosts.Add(1)%254)
+	host := fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%254, pid&0xff, 1+loopbackHosts.Add(1)%254)
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		l, err = net.Listen("tcp", "127.0.0.1:0")
@@ -143,7 +148,7 @@
 	return l.Addr().String(), nil
 }
 
-// StartNode starts one more node, or one again.
+// StartNode starts a node with the given settings: an additional one, or one that was stopped. It isn't added to Nodes or Configs.
 func (c *Cell) StartNode(cfg hgconfig.Config) (n *hgnode.Node, err error) {
 	operator, err := cfg.OperatorKey()
 	if err != nil {
@@ -159,15 +164,15 @@
 	return n, n.Start()
 }
 
-// Addresses returns the nodes' public addresses.
+// Addresses returns the public addresses of all nodes in Configs, running or not.
 func (c *Cell) Addresses() []string {
 	return lo.Map(c.Configs, func(cfg hgconfig.Config, _ int) string { return cfg.Node.Public })
 }
 
-// readyTimeout bounds the wait for a cell.
+// readyTimeout bounds WaitReady.
 const readyTimeout = 20 * time.Second
 
-// WaitReady waits until each shard has an owner and each node takes work.
+// WaitReady waits until each shard has an owner and each node accepts work. It fails after 20 s.
 func (c *Cell) WaitReady() (err error) {
 	end := time.Now().Add(readyTimeout)
 	for time.Now().Before(end) {
@@ -178,27 +183,27 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return trace.LimitExceeded("the cell is not ready after %s", readyTimeout)
+	return trace.LimitExceeded("cell not ready after %s: a shard has no owner or a node accepts no work", readyTimeout)
 }
 
-// Record returns the executions of all endpoints.
-func (c *Cell) Record() []hgstandin.Execution {
-	return lo.FlatMap(lo.Values(c.Endpoints), func(e *hgstandin.Endpoint, _ int) []hgstandin.Execution { return e.Record() })
+// Executions returns the records of all requests that the endpoints accepted, in no particular order of endpoints.
+func (c *Cell) Executions() []hgstandin.Execution {
+	return lo.FlatMap(lo.Values(c.Endpoints), func(e *hgstandin.Endpoint, _ int) []hgstandin.Execution { return e.Executions() })
 }
 
-// Replay replays a trace against the cell and checks it against the endpoints' records.
+// Replay replays a trace against the cell and checks the callers' outcomes against the endpoints' records.
 func (c *Cell) Replay(ctx context.Context, programs []hgreplay.Program, opts hgreplay.Options) *hgreplay.Report {
 	client := hgcaller.NewClient(c.Addresses()...)
 	defer client.Close()
 	r := hgreplay.NewReplay(client, opts).Run(ctx, programs)
-	r.CheckRecords(c.Record())
+	r.CheckRecords(c.Executions())
 	for _, e := range c.Endpoints {
 		r.AddWaste(e.Waste())
 	}
 	return r
 }
 
-// Close stops everything at once.
+// Close stops the nodes without draining them, then the endpoints and the platform.
 func (c *Cell) Close() {
 	for _, n := range c.Nodes {
 		n.Close()
@@ -209,7 +214,7 @@
 	c.Platform.Close()
 }
 
-// Demo returns the options of a small cell that serves the shipped traces.
+// Demo returns the options of a small cell that serves all models and services of the shipped traces.
 func Demo(log *slog.Logger) Options {
 	return Options{
 		Nodes: 3, Engines: 3, Tools: 3, Models: []string{"clerk-7b", "dispute-13b"}, Services: []string{"register", "gate", "payment"},
--- a/internal/proof/hgcell/cell_test.go
+++ b/internal/proof/hgcell/cell_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestFreeAddress asks that no address is at the host from which connections are made: the kernel may give its port to one.
+// TestFreeAddress checks that each address has a host of its own, other than 127.0.0.1. A port of a host from which connections are
+// made may be taken: the kernel may have given it to an outgoing connection.
 func TestFreeAddress(t *testing.T) {
 	hosts := map[string]bool{"127.0.0.1": true}
 	for range 20 {
--- a/internal/proof/hgcell/front_test.go
+++ b/internal/proof/hgcell/front_test.go
@@ -22,16 +22,17 @@
 	"hyssopgrade/internal/serve/hgendpoint"
 )
 
-func smallCell(t *testing.T) *Cell {
+// startCell starts a cell of two nodes with the default settings.
+func startCell(t *testing.T) *Cell {
 	t.Helper()
-	return changedCell(t, nil)
+	return startCellWith(t, nil)
 }
 
-// changedCell returns a cell of two nodes with changed settings.
-func changedCell(t *testing.T, change func(cfg *hgconfig.Config)) *Cell {
+// startCellWith starts a cell of two nodes whose settings are changed by edit, unless it is nil.
+func startCellWith(t *testing.T, edit func(cfg *hgconfig.Config)) *Cell {
 	t.Helper()
 	opts := Demo(hglog.Discard())
-	opts.Nodes, opts.Change = 2, change
+	opts.Nodes, opts.EditConfig = 2, edit
 	c, err := NewCell(opts)
 	if err != nil {
 		t.Fatal(err)
@@ -43,9 +44,9 @@
 	return c
 }
 
-// TestOfficialClient talks to a node with the official client library, by base URL, whole and streamed.
+// TestOfficialClient calls a node with the official OpenAI client, which knows only the base URL, without and with streaming.
 func TestOfficialClient(t *testing.T) {
-	c := smallCell(t)
+	c := startCell(t)
 	client := openai.NewClient(option.WithBaseURL("http://"+c.Addresses()[0]+"/v1"), option.WithAPIKey("none"),
 		option.WithHeader("Hg-Program", "official"))
 	params := func(text string) openai.ChatCompletionNewParams {
@@ -76,9 +77,10 @@
 	}
 }
 
-// TestBadInput sends bad requests: each gets a typed error that names the field, and nothing runs.
+// TestBadInput sends invalid requests. Each has to be refused with the right status and an error that names the field, and none may
+// reach an endpoint.
 func TestBadInput(t *testing.T) {
-	c := smallCell(t)
+	c := startCell(t)
 	good := `{"model":"clerk-7b","messages":[{"role":"user","content":"hi"}]}`
 	h := func(kv ...string) http.Header {
 		header := http.Header{"Hg-Program": {"bad"}, "Hg-Seq": {"1"}, "Hg-Request": {"r"}}
@@ -130,14 +132,15 @@
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	if n := len(c.Record()); n != 0 {
-		t.Errorf("%d bad requests ran", n)
+	if n := len(c.Executions()); n != 0 {
+		t.Errorf("%d invalid requests reached an endpoint", n)
 	}
 }
 
-// TestAnothersIdentifiers uses an identifier and a place of a program for other content: both are refused.
+// TestAnothersIdentifiers sends other content under a request identifier that was used before, and under a sequence number that was
+// used before. Both are refused, and a repeat of the same request isn't run again.
 func TestAnothersIdentifiers(t *testing.T) {
-	c := smallCell(t)
+	c := startCell(t)
 	post := func(request, text string) (status int) {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+c.Addresses()[0]+"/v1/chat/completions",
 			strings.NewReader(`{"model":"clerk-7b","messages":[{"role":"user","content":"`+text+`"}]}`))
@@ -156,15 +159,16 @@
 	if diff := cmp.Diff([]int{200, 200, 422, 422}, got); diff != "" {
 		t.Errorf("statuses (-want +got):\n%s", diff)
 	}
-	if n := len(c.Record()); n != 1 {
-		t.Errorf("%d calls ran", n)
+	if n := len(c.Executions()); n != 1 {
+		t.Errorf("%d calls ran, want 1", n)
 	}
 }
 
-// TestForgedFencingNumbers sends calls with the endpoints' headers set by the caller: endpoints get the owner's own numbers,
-// so that no caller can lock a shard out or act for another.
+// TestForgedFencingNumbers sends calls in which the caller has set the headers that nodes send to endpoints. The endpoints have to get
+// the values of the shard's owner: with a forged fencing number, a caller could make endpoints refuse a whole shard, and with a forged
+// identifier act for another program.
 func TestForgedFencingNumbers(t *testing.T) {
-	c := smallCell(t)
+	c := startCell(t)
 	for i, forged := range []string{"0:999999999", "1:1", "garbage", ""} {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+c.Addresses()[0]+"/v1/tools/payment/charge", strings.NewReader(`{}`))
 		if err != nil {
@@ -191,20 +195,21 @@
 		program := fmt.Sprintf("forged-%d", i)
 		want = append(want, sent{program, program, hgendpoint.Fence{Shard: hgshard.Of(program, shards), Epoch: 1}.String()})
 	}
-	for _, x := range c.Record() {
+	for _, x := range c.Executions() {
 		got = append(got, sent{x.Request, x.Program, x.Fence})
 	}
 	slices.SortFunc(got, func(a, b sent) int { return strings.Compare(a.Request, b.Request) })
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("what endpoints got (-want +got):\n%s", diff)
+		t.Errorf("headers that the endpoints got (-want +got):\n%s", diff)
 	}
 }
 
-// TestOperatorsKey asks each route with the operators' key, with another and with none.
+// TestOperatorsKey sends a request to each route with the operators' key, with a wrong key and without a key. Only the operators'
+// routes may refuse the latter two.
 func TestOperatorsKey(t *testing.T) {
 	const key = "key-of-the-operators"
 	t.Setenv("HYSSOPGRADE_TEST_OPERATORS", key)
-	c := changedCell(t, func(cfg *hgconfig.Config) { cfg.Node.OperatorKeyEnv = "HYSSOPGRADE_TEST_OPERATORS" })
+	c := startCellWith(t, func(cfg *hgconfig.Config) { cfg.Node.OperatorKeyEnv = "HYSSOPGRADE_TEST_OPERATORS" })
 	node := c.Addresses()[0]
 	if _, err := hgcaller.NewClient(node).Call(t.Context(), hgcall.Call{
 		Program: "p", Seq: 1, Request: "r", Kind: hgcall.Model, Target: "clerk-7b", MaxTokens: 4, Deadline: 10 * time.Second,
@@ -215,7 +220,7 @@
 	use := `{"name":"peak","by":"someone"}`
 	tests := map[string]struct {
 		method, path, body string
-		operators          bool
+		operatorsOnly      bool
 	}{
 		"status":         {"GET", "/v1/status", "", true},
 		"presets":        {"GET", "/v1/presets", "", true},
@@ -244,7 +249,7 @@
 				got[kind] = w.StatusCode
 			}
 			without := http.StatusOK
-			if tc.operators {
+			if tc.operatorsOnly {
 				without = http.StatusUnauthorized
 			}
 			if diff := cmp.Diff(map[string]int{"none": without, "another": without, "key": http.StatusOK}, got); diff != "" {
--- a/internal/proof/hgcell/metrics_test.go
+++ b/internal/proof/hgcell/metrics_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// TestMetricsOfThePageExist compares the metrics that docs/OPERATIONS.md names with those that a node serves.
-func TestMetricsOfThePageExist(t *testing.T) {
-	c := smallCell(t)
+// TestDocumentedMetricsExist checks that the nodes serve each metric that docs/OPERATIONS.md names. hyssopgrade_retries is exempt: no
+// call is retried here, so it isn't served.
+func TestDocumentedMetricsExist(t *testing.T) {
+	c := startCell(t)
 	body := `{"model":"clerk-7b","messages":[{"role":"user","content":"hi"}],"max_tokens":8}`
 	for _, model := range []string{"clerk-7b", "nothing"} {
 		w, err := http.Post("http://"+c.Addresses()[0]+"/v1/chat/completions", "application/json", strings.NewReader(strings.Replace(body, "clerk-7b", model, 1)))
--- a/internal/proof/hgproof/bench_test.go
+++ b/internal/proof/hgproof/bench_test.go
@@ -267,7 +267,7 @@
 
 // record returns the executions of all endpoints.
 func (b *bench) record() []hgstandin.Execution {
-	return lo.FlatMap(lo.Values(b.endpoints), func(e *hgstandin.Endpoint, _ int) []hgstandin.Execution { return e.Record() })
+	return lo.FlatMap(lo.Values(b.endpoints), func(e *hgstandin.Endpoint, _ int) []hgstandin.Execution { return e.Executions() })
 }
 
 // runs returns the executions of one request.
--- a/internal/proof/hgproof/cut_test.go
+++ b/internal/proof/hgproof/cut_test.go
@@ -110,7 +110,7 @@
 	opts := hgcell.Demo(hglog.Discard())
 	opts.Nodes = 4
 	opts.Dial = wire.dial
-	opts.Change = func(cfg *hgconfig.Config) {
+	opts.EditConfig = func(cfg *hgconfig.Config) {
 		cfg.Limits.HeartbeatMs, cfg.Limits.SilentMs, cfg.Limits.PollMs = 200, 1000, pollMs
 		cfg.Limits.DispatchWindowMs, cfg.Limits.StaleMs = 1000, 8*pollMs
 		wire.addresses[cfg.Node.Inner] = cfg.Node.ID
@@ -151,7 +151,7 @@
 	r := hgreplay.NewReplay(caller, hgreplay.Options{
 		Speed: 0.4, Deadline: 25 * time.Second, Patience: 20 * time.Second, Progress: func(int, int) {},
 	}).Run(t.Context(), programs)
-	r.CheckRecords(c.Record())
+	r.CheckRecords(c.Executions())
 	t.Logf("done %d, undone %d, refusals %v, latency %+v", r.Done, r.Undone, r.Refusals, r.Latency())
 	if diff := cmp.Diff([]string{}, r.Violations); diff != "" {
 		t.Errorf("violations (-want +got):\n%s", diff)
@@ -182,7 +182,7 @@
 		call := tool(program, 2, "payment/charge", false)
 		_, err1 := hgcaller.NewClient(old).Call(t.Context(), call.WithDeadline(time.Second))
 		_, err2 := hgcaller.NewClient(next).Call(t.Context(), call.WithDeadline(8*time.Second))
-		runs := lo.CountBy(c.Record(), func(x hgstandin.Execution) bool { return x.Request == call.Request })
+		runs := lo.CountBy(c.Executions(), func(x hgstandin.Execution) bool { return x.Request == call.Request })
 		t.Logf("old owner believes that it owns the shard: %t; answers: %v, %v", believes, err1, err2)
 		if err2 != nil || runs != 1 {
 			t.Errorf("%s: answer of the new owner: %v; the call ran %d times", program, err2, runs)
--- a/internal/proof/hgproof/leaving_test.go
+++ b/internal/proof/hgproof/leaving_test.go
@@ -50,13 +50,13 @@
 			time.Sleep(300 * time.Millisecond)
 			fn(b)
 			limit := time.Now().Add(3 * time.Second).UnixMicro()
-			before := len(b.endpoints["engine-0"].Record())
+			before := len(b.endpoints["engine-0"].Executions())
 			time.Sleep(4500 * time.Millisecond)
 			stop()
 			if before == 0 {
 				t.Fatal("the endpoint had no work before it left")
 			}
-			for _, x := range b.endpoints["engine-0"].Record() {
+			for _, x := range b.endpoints["engine-0"].Executions() {
 				if x.StartUs > limit {
 					t.Fatalf("%s started %d ms after the limit", x.Request, (x.StartUs-limit)/1000)
 				}
--- a/internal/proof/hgproof/memory_test.go
+++ b/internal/proof/hgproof/memory_test.go
@@ -29,7 +29,7 @@
 
 // held returns the number of programs that hold engine memory.
 func (b *bench) held() int {
-	return lo.SumBy(lo.Values(b.endpoints), func(e *hgstandin.Endpoint) int { return len(e.Held()) })
+	return lo.SumBy(lo.Values(b.endpoints), func(e *hgstandin.Endpoint) int { return len(e.CachedTokens()) })
 }
 
 // TestEngineMemoryIsReleased leaves programs without an end, kills callers' owner, and ends others:
--- a/internal/proof/hgstandin/authority.go
+++ b/internal/proof/hgstandin/authority.go
@@ -14,16 +14,16 @@
 	"github.com/gravitational/trace"
 )
 
-// Authority signs the certificates of nodes in tests; its files lie in a directory.
+// Authority is a certificate authority that signs the nodes' TLS certificates in tests.
 type Authority struct {
-	// File holds the authority's certificate.
+	// File is the path of the authority's certificate, in PEM.
 	File string
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an authority with files in a directory.
+// NewAuthority creates an authority, valid for an hour, and writes its certificate into dir. Sign writes there too.
 func NewAuthority(dir string) (a *Authority, err error) {
 	defer func() { err = trace.Wrap(err, "authority") }()
 	a = &Authority{File: filepath.Join(dir, "authority.pem"), dir: dir}
@@ -40,7 +40,7 @@
 	return a, writePEM(a.File, "CERTIFICATE", der)
 }
 
-// Sign writes a node's certificate, which is valid until an end, and its key, and returns the names of the files.
+// Sign creates a certificate for a node that is valid until end, and returns the paths of the certificate and of its key.
 func (a *Authority) Sign(node string, end time.Time) (certFile, keyFile string, err error) {
 	defer func() { err = trace.Wrap(err, "certificate of %s", node) }()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/proof/hgstandin/doc.go
+++ b/internal/proof/hgstandin/doc.go
@@ -1,3 +1,3 @@
-// Package hgstandin provides small stand-ins for the platform, the model engines and the tool services,
-// which can be made to fail in the ways that the real ones do and record what they executed.
+// Package hgstandin provides fake servers for the platform, the model engines and the tool services. They inject
+// faults on demand and record the requests that they executed.
 package hgstandin
--- a/internal/proof/hgstandin/endpoint.go
+++ b/internal/proof/hgstandin/endpoint.go
@@ -13,71 +13,71 @@
 	"hyssopgrade/internal/serve/hgendpoint"
 )
 
-// Fault says how an endpoint misbehaves.
+// Fault describes how an endpoint misbehaves; it is the body of POST /fault.
 type Fault struct {
-	// Hang keeps requests without an answer.
+	// Hang leaves requests without an answer until the client closes the connection.
 	Hang bool `json:"hang"`
 	// SlowMs delays each answer, in milliseconds.
 	SlowMs int `json:"slowMs"`
-	// LoseReplies is the number of coming tool calls that take effect and cut the connection.
+	// LoseReplies is the number of upcoming tool calls that take effect, but whose connection is closed before the answer.
 	LoseReplies int `json:"loseReplies"`
-	// CutPieces is the number of coming model answers that are cut in the middle.
+	// CutPieces is the number of upcoming model answers whose connection is closed after the first part.
 	CutPieces int `json:"cutPieces"`
-	// Crossed is the number of coming answers that carry another request's identifier.
+	// Crossed is the number of upcoming answers that carry another request's identifier.
 	Crossed int `json:"crossed"`
-	// CrashOn crashes the endpoint on requests whose content contains it.
+	// CrashOn is a text: a request whose content contains it crashes the endpoint. Empty disables it.
 	CrashOn string `json:"crashOn"`
-	// RestartMs is the time that a crashed endpoint is gone, in milliseconds.
+	// RestartMs is the time from a crash until the endpoint listens again, in milliseconds.
 	RestartMs int `json:"restartMs"`
-	// Leaving says in the load report that the endpoint leaves.
+	// Leaving reports the endpoint as draining in the load report, but still accepts requests.
 	Leaving bool `json:"leaving"`
-	// Draining refuses new requests and says so in the load report.
+	// Draining refuses new requests with status 503 and reports the endpoint as draining in the load report.
 	Draining bool `json:"draining"`
-	// HideOutcomes tells no outcomes of earlier requests.
+	// HideOutcomes answers queries for the outcome of a request with status 404.
 	HideOutcomes bool `json:"hideOutcomes"`
 }
 
-// Execution is one request that an endpoint executed.
+// Execution is the record of one request that an endpoint accepted, from GET /record.
 type Execution struct {
 	Request   string `json:"request"`
 	Program   string `json:"program"`
 	Operation string `json:"operation"`
 	Fence     string `json:"fence"`
-	// StartUs and EndUs are wall-clock times, in microseconds; EndUs is 0 while it runs.
+	// StartUs and EndUs are wall-clock times, in microseconds since 1970; EndUs is 0 while the request runs.
 	StartUs int64 `json:"startUs"`
 	EndUs   int64 `json:"endUs"`
-	// Tokens is the number of tokens generated.
+	// Tokens is the number of tokens generated; 0 for tool calls.
 	Tokens uint64 `json:"tokens"`
 }
 
-// Options set up an Endpoint.
+// Options configures an Endpoint.
 type Options struct {
 	// TokenTime is the time per generated token.
 	TokenTime time.Duration
 	// PrefillTime is the time per prompt token that is not cached.
 	PrefillTime time.Duration
-	// CacheTokens is the size of the prefix cache.
+	// CacheTokens is the capacity of the prefix cache, in tokens.
 	CacheTokens int
-	// ChecksFencing refuses requests with an old fencing number.
+	// ChecksFencing refuses requests whose fencing number is missing or older than the newest seen of its shard.
 	ChecksFencing bool
 }
 
-// Endpoint is a model engine and a tool service in one.
+// Endpoint is a fake model engine and tool service on one address.
 type Endpoint struct {
 	*Server
 	opts Options
 
-	mu       sync.Mutex
-	fault    Fault
-	record   []*Execution
-	outcomes map[string]hgendpoint.ToolResult
-	fences   map[string]uint64
-	running  int
-	crashes  int
-	cache    *cache
+	mu         sync.Mutex
+	fault      Fault
+	executions []*Execution
+	outcomes   map[string]hgendpoint.ToolResult
+	fences     map[string]uint64
+	running    int
+	crashes    int
+	cache      *cache
 }
 
-// NewEndpoint serves an endpoint at the address.
+// NewEndpoint starts an endpoint at the address. Port 0 selects a free port, see Server.Address.
 func NewEndpoint(address string, opts Options) (e *Endpoint, err error) {
 	e = &Endpoint{
 		opts: opts, outcomes: map[string]hgendpoint.ToolResult{}, fences: map[string]uint64{},
@@ -90,7 +90,7 @@
 	mux.HandleFunc("GET /load", e.load)
 	mux.HandleFunc("GET /outcome", e.outcome)
 	mux.HandleFunc("GET /cache/programs", e.programs)
-	mux.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Record()) })
+	mux.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Executions()) })
 	mux.HandleFunc("GET /waste", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Waste()) })
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, r *http.Request) {
 		var f Fault
@@ -102,45 +102,46 @@
 	return e, err
 }
 
-// SetFault replaces the faults in force.
+// SetFault replaces the current fault; the zero Fault ends all misbehaviour.
 func (e *Endpoint) SetFault(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-// Record returns the executions so far.
-func (e *Endpoint) Record() []Execution {
+// Executions returns copies of the records of all requests so far, in the order of their start.
+func (e *Endpoint) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	list := make([]Execution, len(e.record))
-	for i, x := range e.record {
+	list := make([]Execution, len(e.executions))
+	for i, x := range e.executions {
 		list[i] = *x
 	}
 	return list
 }
 
-// Crashes returns how often the endpoint crashed.
+// Crashes returns the number of crashes caused by Fault.CrashOn.
 func (e *Endpoint) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.crashes
 }
 
-// Waste counts the tokens written into a prefix cache and those of them that were never reused.
+// Waste holds the number of tokens written into a prefix cache and how many of them were never reused.
 type Waste struct {
 	Written uint64 `json:"written"`
 	Unused  uint64 `json:"unused"`
 }
 
-// Waste returns what the prefix cache counted.
+// Waste returns the counters of the prefix cache since the endpoint started or last crashed.
 func (e *Endpoint) Waste() Waste {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.waste()
 }
 
-// begin checks the fence and the faults and records an execution; ok is false when the request is refused.
+// begin refuses a request if the endpoint drains or its fencing number is old. Otherwise it records an execution and applies the
+// faults that crash, hang or delay. If ok is false, the request is over: it was refused, or the client is gone.
 func (e *Endpoint) begin(w http.ResponseWriter, r *http.Request, operation, content string) (x *Execution, ok bool) {
 	e.mu.Lock()
 	f := e.fault
@@ -159,7 +160,7 @@
 		Request: r.Header.Get(hgendpoint.HeaderRequest), Program: r.Header.Get(hgendpoint.HeaderProgram),
 		Operation: operation, Fence: fence, StartUs: time.Now().UnixMicro(),
 	}
-	e.record = append(e.record, x)
+	e.executions = append(e.executions, x)
 	e.running++
 	crash := f.CrashOn != "" && strings.Contains(content, f.CrashOn)
 	if crash {
@@ -172,14 +173,15 @@
 		e.end(x, 0)
 		panic(http.ErrAbortHandler)
 	}
-	if !pause(r.Context(), f) {
+	if !applyDelay(r.Context(), f) {
 		e.end(x, 0)
 		return nil, false
 	}
 	return x, true
 }
 
-// checkFence keeps the highest epoch of each shard; the caller holds the lock.
+// checkFence reports whether a fencing number SHARD:EPOCH is at least the highest seen of its shard, and keeps the highest.
+// e.mu must be held.
 func (e *Endpoint) checkFence(fence string) bool {
 	var shard, epoch uint64
 	if _, err := fmt.Sscanf(fence, "%d:%d", &shard, &epoch); err != nil {
@@ -193,8 +195,8 @@
 	return true
 }
 
-// pause hangs or slows a request; it returns false when its caller is gone.
-func pause(ctx context.Context, f Fault) bool {
+// applyDelay applies the faults Hang and SlowMs to a request. It returns false if the client is gone.
+func applyDelay(ctx context.Context, f Fault) bool {
 	if f.Hang {
 		<-ctx.Done()
 		return false
@@ -215,8 +217,8 @@
 	x.Tokens = tokens
 }
 
-// take counts one use of a fault down and tells whether it was in force.
-func (e *Endpoint) take(count func(f *Fault) *int) bool {
+// consumeFault decrements a counter of the current fault. It returns false if the counter was 0 already.
+func (e *Endpoint) consumeFault(count func(f *Fault) *int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := count(&e.fault)
@@ -227,17 +229,17 @@
 	return true
 }
 
-func crossed(f *Fault) *int { return &f.Crossed }
+func crossedCount(f *Fault) *int { return &f.Crossed }
 
-// answerID sets the request identifier of the answer.
-func (e *Endpoint) answerID(w http.ResponseWriter, request string) {
-	if e.take(crossed) {
+// setRequestID sets the answer's header with the request identifier, or with a wrong one under the fault Crossed.
+func (e *Endpoint) setRequestID(w http.ResponseWriter, request string) {
+	if e.consumeFault(crossedCount) {
 		request = "another-" + request
 	}
 	w.Header().Set(hgendpoint.HeaderRequest, request)
 }
 
-// call executes a tool call: its effect is the execution's record, which happens before any answer.
+// call executes a tool call. The call's effect is its record, which is written before any answer.
 func (e *Endpoint) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -248,22 +250,22 @@
 	if !ok {
 		return
 	}
-	sleep(r.Context(), body)
+	simulateWork(r.Context(), body)
 	answer := hgendpoint.ToolResult{Status: http.StatusOK, Body: fmt.Appendf(nil, `{"operation":%q,"request":%q}`, op, x.Request)}
 	e.end(x, 0)
 	e.mu.Lock()
 	e.outcomes[x.Request] = answer
 	e.mu.Unlock()
-	if e.take(func(f *Fault) *int { return &f.LoseReplies }) {
+	if e.consumeFault(func(f *Fault) *int { return &f.LoseReplies }) {
 		panic(http.ErrAbortHandler)
 	}
-	e.answerID(w, x.Request)
+	e.setRequestID(w, x.Request)
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(answer.Body)
 }
 
-// sleep takes the time that a tool call's body names.
-func sleep(ctx context.Context, body []byte) {
+// simulateWork waits for the durationMs in a tool call's body, if the body begins with it.
+func simulateWork(ctx context.Context, body []byte) {
 	var ms int
 	if _, err := fmt.Sscanf(string(body), `{"durationMs":%d`, &ms); err != nil {
 		return
@@ -296,15 +298,15 @@
 	writeJSON(w, http.StatusOK, o)
 }
 
-// seen tells whether an execution of the request was recorded; the caller holds the lock.
+// seen reports whether an execution of the request was recorded. e.mu must be held.
 func (e *Endpoint) seen(request string) bool {
-	return slices.ContainsFunc(e.record, func(x *Execution) bool { return x.Request == request })
+	return slices.ContainsFunc(e.executions, func(x *Execution) bool { return x.Request == request })
 }
 
 func (e *Endpoint) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	writeJSON(w, http.StatusOK, hgendpoint.Status{
-		Running: e.running, CacheShare: e.cache.share(), Draining: e.fault.Draining || e.fault.Leaving,
+		Running: e.running, CacheShare: e.cache.usedShare(), Draining: e.fault.Draining || e.fault.Leaving,
 	})
 }
--- a/internal/proof/hgstandin/engine.go
+++ b/internal/proof/hgstandin/engine.go
@@ -12,10 +12,11 @@
 	"hyssopgrade/hgcall"
 )
 
-// tokenBytes is the size of each token that the engine generates.
+// tokenBytes is the size of each token that the engine generates or counts, in bytes.
 const tokenBytes = 4
 
-// Digest returns the digest of a conversation that an engine's answer begins with.
+// Digest returns the hash of a conversation. An engine's answer begins with it, so that a test can tell whether the engine saw
+// the whole conversation.
 func Digest(messages []hgcall.Message) string {
 	h := xxhash.New()
 	for _, m := range messages {
@@ -24,7 +25,7 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// promptTokens counts a conversation's tokens: one for each four bytes and one for each message.
+// promptTokens counts a conversation's tokens: one per started four bytes of content, and one per message.
 func promptTokens(messages []hgcall.Message) int {
 	n := 0
 	for _, m := range messages {
@@ -33,7 +34,7 @@
 	return n
 }
 
-// Answer returns the text that an engine generates for a conversation.
+// Answer returns the text of maxTokens tokens that an engine generates for a conversation, for comparison with what a caller got.
 func Answer(messages []hgcall.Message, maxTokens uint64) string {
 	text := Digest(messages)
 	if n := int(maxTokens) * tokenBytes; n > len(text) {
@@ -42,7 +43,7 @@
 	return text[:int(maxTokens)*tokenBytes]
 }
 
-// chat generates the answer piece by piece.
+// chat answers a chat completion: it waits for the prefill of tokens that are not cached and streams the answer.
 func (e *Endpoint) chat(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Model     string           `json:"model"`
@@ -65,24 +66,24 @@
 	text := Answer(body.Messages, body.MaxTokens)
 	tokens := len(text) / tokenBytes
 	defer func() { e.end(x, uint64(tokens)) }()
-	e.answerID(w, x.Request)
+	e.setRequestID(w, x.Request)
 	if !e.stream(w, r, text) {
 		return
 	}
 	e.mu.Lock()
-	e.cache.store(x.Program, prompt+tokens)
+	e.cache.extend(x.Program, prompt+tokens)
 	e.mu.Unlock()
 	e.finish(w, prompt, cached, tokens)
 }
 
-// pieces is the number of parts in which an answer is sent.
-const pieces = 4
+// partsPerAnswer is the number of events over which an answer's text is spread.
+const partsPerAnswer = 4
 
-// stream sends the text in pieces; it returns false when the caller is gone.
+// stream sends the text in parts, each after the time that its tokens take. It returns false if the client is gone.
 func (e *Endpoint) stream(w http.ResponseWriter, r *http.Request, text string) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
-	cut := e.take(func(f *Fault) *int { return &f.CutPieces })
-	size := max((len(text)/tokenBytes+pieces-1)/pieces, 1) * tokenBytes
+	cut := e.consumeFault(func(f *Fault) *int { return &f.CutPieces })
+	size := max((len(text)/tokenBytes+partsPerAnswer-1)/partsPerAnswer, 1) * tokenBytes
 	for i := 0; i < len(text); i += size {
 		if cut && i > 0 {
 			panic(http.ErrAbortHandler)
@@ -93,20 +94,21 @@
 			return false
 		case <-time.After(time.Duration(len(part)/tokenBytes) * e.opts.TokenTime):
 		}
-		event(w, map[string]any{"choices": []any{map[string]any{"index": 0, "delta": map[string]any{"content": part}}}})
+		writeEvent(w, map[string]any{"choices": []any{map[string]any{"index": 0, "delta": map[string]any{"content": part}}}})
 	}
 	return true
 }
 
+// finish sends the events that end an answer: the finish reason, the usage and [DONE].
 func (e *Endpoint) finish(w http.ResponseWriter, prompt, cached, tokens int) {
-	event(w, map[string]any{"choices": []any{map[string]any{"index": 0, "delta": map[string]any{}, "finish_reason": "stop"}}})
-	event(w, map[string]any{"choices": []any{}, "usage": map[string]any{
+	writeEvent(w, map[string]any{"choices": []any{map[string]any{"index": 0, "delta": map[string]any{}, "finish_reason": "stop"}}})
+	writeEvent(w, map[string]any{"choices": []any{}, "usage": map[string]any{
 		"prompt_tokens": prompt, "completion_tokens": tokens, "prompt_tokens_details": map[string]any{"cached_tokens": cached},
 	}})
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-func event(w http.ResponseWriter, v any) {
+func writeEvent(w http.ResponseWriter, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return
--- a/internal/proof/hgstandin/platform.go
+++ b/internal/proof/hgstandin/platform.go
@@ -7,13 +7,14 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// Platform serves a memory store over the platform's protocol.
+// Platform is a fake platform: it serves an in-memory store over the platform's protocol.
 type Platform struct {
 	*Server
+	// Store holds the rows and the VM list, for tests that change them or inject faults directly.
 	Store *hgstore.Memory
 }
 
-// NewPlatform serves an empty platform at the address.
+// NewPlatform starts a platform with an empty store at the address. Port 0 selects a free port, see Server.Address.
 func NewPlatform(address string) (p *Platform, err error) {
 	p = &Platform{Store: hgstore.NewMemory()}
 	mux := http.NewServeMux()
--- a/internal/proof/hgstandin/server.go
+++ b/internal/proof/hgstandin/server.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Server is an HTTP server that can crash and come back at the same address.
+// Server is an HTTP server that can crash and restart at the same address.
 type Server struct {
 	handler http.Handler
 	mu      sync.Mutex
@@ -19,7 +19,7 @@
 	closed  bool
 }
 
-// listen serves the handler at the address.
+// listen starts a server of the handler at the address.
 func listen(address string, h http.Handler) (s *Server, err error) {
 	s = &Server{handler: h, address: address}
 	return s, s.start()
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// Address returns the address served.
+// Address returns the host and port that the server listens at, also where port 0 was asked for.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// crash cuts all connections and stops listening for a time.
+// crash closes all connections and the listener, and starts the server again after the given time.
 func (s *Server) crash(restart time.Duration) {
 	s.mu.Lock()
 	_ = s.server.Close()
@@ -61,7 +61,7 @@
 	})
 }
 
-// Close stops the server.
+// Close stops the server for good: it closes all connections, and a pending restart after a crash doesn't happen.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,6 +75,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// readJSON decodes a body of at most 64 MiB. It answers a bad body with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<20))
 	if err := d.Decode(v); err != nil {
