--- a/internal/proof/hgproof/answer_test.go
+++ b/internal/proof/hgproof/answer_test.go
@@ -10,9 +10,10 @@
 	"hyssopgrade/internal/proof/hgstandin"
 )
 
-// TestWholeAnswers cuts and crosses answers at the engines and the tools: each caller gets the whole answer to its own request.
+// TestWholeAnswers checks that each caller gets the complete answer to its own request, although engines and tools break answers off,
+// lose them, or return them under another request's identifier.
 func TestWholeAnswers(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 2, tools: 2, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 2, tools: 2, engine: quickEngine})
 	b.setFault("engine", hgstandin.Fault{Crossed: 4, CutPieces: 6})
 	b.setFault("tool", hgstandin.Fault{Crossed: 4, LoseReplies: 4})
 	var wg sync.WaitGroup
--- a/internal/proof/hgproof/budget_test.go
+++ b/internal/proof/hgproof/budget_test.go
@@ -12,10 +12,11 @@
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// TestBudgetHolds lets sub-agents loop without end on one budget while the owner is killed: what the engines generated
-// and read for the program, lost dispatches included, stays within the budget, and no reservation stays.
+// TestBudgetHolds runs sub-agents that loop without end on their root program's budget, and kills the owner meanwhile. The tokens that
+// engines generate and newly read for the program have to stay within the budget, also counting dispatches whose answer was lost with
+// the owner, and no reservation may be left over.
 func TestBudgetHolds(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 4, engines: 2, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 4, engines: 2, tools: 1, engine: quickEngine})
 	const budget, agents = 3000, 4
 	root := model("loop", 1, "begin")
 	root.Budget = budget
@@ -40,14 +41,14 @@
 	b.kill(b.owner("loop"))
 	wg.Wait()
 	used := uint64(0)
-	for _, x := range b.record() {
+	for _, x := range b.executions() {
 		used += x.Tokens + newTokens(x.Request)
 	}
-	t.Logf("used %d of %d tokens in %d executions", used, budget, len(b.record()))
+	t.Logf("used %d of %d tokens in %d executions", used, budget, len(b.executions()))
 	if used > budget || used < budget/4 {
 		t.Errorf("engines used %d of %d tokens", used, budget)
 	}
-	b.eventually("no reservation stays", 5*time.Second, func() bool {
+	b.eventually("no tokens stay reserved", 5*time.Second, func() bool {
 		var s hgowner.ProgramStatus
 		for _, n := range b.nodes {
 			if b.client.Get(t.Context(), n.public, "/v1/programs/status?program=loop", &s) == nil {
@@ -58,7 +59,8 @@
 	})
 }
 
-// newTokens returns the tokens that a request of the test adds to its program: its message and the answer before it.
+// newTokens returns the prompt tokens that a request of the test adds to its program's conversation: those of its message, and one for
+// the previous answer as a message. The answer's other tokens were counted when they were generated.
 func newTokens(request string) uint64 {
 	if request == "loop-1" {
 		return 3
--- a/internal/proof/hgproof/cut_test.go
+++ b/internal/proof/hgproof/cut_test.go
@@ -25,95 +25,101 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-// network connects the nodes of a cell and can cut one of them from the others, in both directions.
-type network struct {
-	mu        sync.Mutex
-	addresses map[string]string
-	cut       string
+// faultyNetwork connects the nodes of a cell and can isolate one node from the others, in both directions.
+type faultyNetwork struct {
+	mu sync.Mutex
+	// nodes maps inner addresses to nodes.
+	nodes map[string]string
+	// isolated is the isolated node, or empty.
+	isolated string
 }
 
-var errCut = errors.New("network is cut")
+var errPartitioned = errors.New("network partition between the nodes")
 
-func (n *network) parted(from, address string) bool {
+// partitioned reports whether the node from can't reach the node at an inner address.
+func (n *faultyNetwork) partitioned(from, address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != "" && (from == n.cut || n.addresses[address] == n.cut)
+	return n.isolated != "" && (from == n.isolated || n.nodes[address] == n.isolated)
 }
 
-func (n *network) setCut(node string) {
+// isolate isolates a node instead of the one isolated before. An empty name ends the partition.
+func (n *faultyNetwork) isolate(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = node
+	n.isolated = node
 }
 
-// nodeAt returns the node with a public address.
-func (n *network) nodeAt(c *hgcell.Cell, public string) string {
+// nodeAt returns the identifier of the node with the given public address.
+func (n *faultyNetwork) nodeAt(c *hgcell.Cell, public string) string {
 	cfg, _ := lo.Find(c.Configs, func(cfg hgconfig.Config) bool { return cfg.Node.Public == public })
 	return cfg.Node.ID
 }
 
-func (n *network) dial(from string) hginner.Dial {
+// dial returns the function by which a node connects to its peers.
+func (n *faultyNetwork) dial(from string) hginner.Dial {
 	return func(ctx context.Context, proto, address string) (net.Conn, error) {
-		if n.parted(from, address) {
-			return nil, errCut
+		if n.partitioned(from, address) {
+			return nil, errPartitioned
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, proto, address)
-		return &cuttable{Conn: conn, parted: func() bool { return n.parted(from, address) }}, err
+		return &partitionableConn{Conn: conn, partitioned: func() bool { return n.partitioned(from, address) }}, err
 	}
 }
 
-// cuttable is a connection that loses what is sent and received while its ends are parted.
-type cuttable struct {
+// partitionableConn is a connection between nodes. During a partition it discards what is sent, as a network that drops packets, and
+// fails when something is received.
+type partitionableConn struct {
 	net.Conn
-	parted func() bool
+	partitioned func() bool
 }
 
-func (c *cuttable) Read(p []byte) (int, error) {
+func (c *partitionableConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if err == nil && c.parted() {
-		return 0, errCut
+	if err == nil && c.partitioned() {
+		return 0, errPartitioned
 	}
 	return n, err
 }
 
-func (c *cuttable) Write(p []byte) (int, error) {
-	if c.parted() {
+func (c *partitionableConn) Write(p []byte) (int, error) {
+	if c.partitioned() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// roaming sends each call through the next node, so that both sides of a cut see calls of one program.
-type roaming struct {
+// roundRobinClient sends each call through the next node, so that both sides of a partition get calls of the same program.
+type roundRobinClient struct {
 	clients []*hgcaller.Client
 	next    atomic.Int64
 }
 
-func (r *roaming) client() *hgcaller.Client {
+func (r *roundRobinClient) client() *hgcaller.Client {
 	return r.clients[int(r.next.Add(1))%len(r.clients)]
 }
 
-// Call sends a call until it has a final answer.
-func (r *roaming) Call(ctx context.Context, c hgcall.Call) (a hgcaller.Answer, err error) {
+// Call sends a call to the next node and retries it there until it has a final answer.
+func (r *roundRobinClient) Call(ctx context.Context, c hgcall.Call) (a hgcaller.Answer, err error) {
 	return r.client().Call(ctx, c)
 }
 
-// End ends a program.
-func (r *roaming) End(ctx context.Context, program string) (err error) {
+// End ends a program through the next node.
+func (r *roundRobinClient) End(ctx context.Context, program string) (err error) {
 	return r.client().End(ctx, program)
 }
 
-// newCutCell returns a cell of four nodes whose connections with each other can be cut.
-func newCutCell(t *testing.T, pollMs int) (c *hgcell.Cell, wire *network) {
+// newPartitionCell starts a cell of four nodes that can be isolated from each other. They read the store every pollMs.
+func newPartitionCell(t *testing.T, pollMs int) (c *hgcell.Cell, network *faultyNetwork) {
 	t.Helper()
-	wire = &network{addresses: map[string]string{}}
+	network = &faultyNetwork{nodes: map[string]string{}}
 	opts := hgcell.Demo(hglog.Discard())
 	opts.Nodes = 4
-	opts.Dial = wire.dial
+	opts.Dial = network.dial
 	opts.EditConfig = func(cfg *hgconfig.Config) {
 		cfg.Limits.HeartbeatMs, cfg.Limits.SilentMs, cfg.Limits.PollMs = 200, 1000, pollMs
 		cfg.Limits.DispatchWindowMs, cfg.Limits.StaleMs = 1000, 8*pollMs
-		wire.addresses[cfg.Node.Inner] = cfg.Node.ID
+		network.nodes[cfg.Node.Inner] = cfg.Node.ID
 	}
 	c, err := hgcell.NewCell(opts)
 	if err != nil {
@@ -123,28 +129,29 @@
 	if err := c.WaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	return c, wire
+	return c, network
 }
 
-// TestCutBetweenNodes cuts one node after the other from its peers, past the takeover, while a trace is replayed through
-// all of them; each still reaches the store and the endpoints. No outcome is wrong, and every program gets its answer.
+// TestCutBetweenNodes isolates one node after the other from its peers, each for longer than it takes the others to take its shards
+// over, while a trace is replayed through all nodes. The isolated node still reaches the store and the endpoints, so that for a time two
+// nodes may act as the owner of a shard. No outcome may be wrong, and every program has to get its answers.
 func TestCutBetweenNodes(t *testing.T) {
 	programs, err := hgreplay.Shipped("derwent")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, wire := newCutCell(t, 500)
+	c, network := newPartitionCell(t, 500)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
 		for i := 0; ctx.Err() == nil; i++ {
-			wire.setCut(c.Configs[i%4].Node.ID)
+			network.isolate(c.Configs[i%4].Node.ID)
 			time.Sleep(2500 * time.Millisecond)
-			wire.setCut("")
+			network.isolate("")
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}()
-	caller := &roaming{}
+	caller := &roundRobinClient{}
 	for _, address := range c.Addresses() {
 		caller.clients = append(caller.clients, hgcaller.NewClient(address))
 	}
@@ -157,43 +164,44 @@
 		t.Errorf("violations (-want +got):\n%s", diff)
 	}
 	if r.Undone > 0 {
-		t.Errorf("%d programs have no answer", r.Undone)
+		t.Errorf("%d programs were not completed", r.Undone)
 	}
 }
 
-// TestSupersededOwnerDispatchesNothing cuts a program's owner from its peers until another node has taken the shard, and sends a
-// call that may not be repeated through both before the old owner can read of it: it runs once, and is answered.
+// TestSupersededOwnerDispatchesNothing isolates a program's owner from its peers until another node has taken the shard over. It then
+// sends a call that may not be repeated through both nodes, before the old owner's next read of the store can tell it of the takeover.
+// The call has to run exactly once, and the new owner has to answer it.
 func TestSupersededOwnerDispatchesNothing(t *testing.T) {
-	c, wire := newCutCell(t, 3000)
+	c, network := newPartitionCell(t, 3000)
 	for round := range 3 {
 		program := fmt.Sprintf("superseded-%d", round)
 		old := locate(t, c.Addresses()[0], program)
 		if _, err := hgcaller.NewClient(old).Call(t.Context(), model(program, 1, "hello")); err != nil {
 			t.Fatal(err)
 		}
-		id := wire.nodeAt(c, old)
-		wire.setCut(id)
+		id := network.nodeAt(c, old)
+		network.isolate(id)
 		other := lo.Without(c.Addresses(), old)[0]
-		for end := time.Now().Add(5 * time.Second); ownerSeen(t, other, program) == id && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); ownerSeenBy(t, other, program) == id && time.Now().Before(end); {
 			time.Sleep(20 * time.Millisecond)
 		}
 		next := locate(t, other, program)
-		believes := ownerSeen(t, old, program) == id
+		staleView := ownerSeenBy(t, old, program) == id
 		call := tool(program, 2, "payment/charge", false)
 		_, err1 := hgcaller.NewClient(old).Call(t.Context(), call.WithDeadline(time.Second))
 		_, err2 := hgcaller.NewClient(next).Call(t.Context(), call.WithDeadline(8*time.Second))
 		runs := lo.CountBy(c.Executions(), func(x hgstandin.Execution) bool { return x.Request == call.Request })
-		t.Logf("old owner believes that it owns the shard: %t; answers: %v, %v", believes, err1, err2)
+		t.Logf("the old owner still takes itself for the owner: %t; answers: %v, %v", staleView, err1, err2)
 		if err2 != nil || runs != 1 {
 			t.Errorf("%s: answer of the new owner: %v; the call ran %d times", program, err2, runs)
 		}
-		wire.setCut("")
+		network.isolate("")
 		time.Sleep(2 * time.Second)
 	}
 }
 
-// ownerSeen returns the owner of a program's shard as a node knows it.
-func ownerSeen(t *testing.T, address, program string) string {
+// ownerSeenBy returns the owner of a program's shard as seen by the node at address.
+func ownerSeenBy(t *testing.T, address, program string) string {
 	t.Helper()
 	client := hgcaller.NewClient(address)
 	defer client.Close()
@@ -204,7 +212,7 @@
 	return o.Shards[hgshard.Of(program, uint32(len(o.Shards)))]
 }
 
-// locate returns the first address that a node names for a program.
+// locate returns the address of a program's owner as seen by the node at address.
 func locate(t *testing.T, address, program string) string {
 	t.Helper()
 	client := hgcaller.NewClient(address)
--- a/internal/proof/hgproof/drain_test.go
+++ b/internal/proof/hgproof/drain_test.go
@@ -10,12 +10,12 @@
 	"hyssopgrade/internal/serve/hgcaller"
 )
 
-// TestGracefulStop ends a node by SIGTERM under load, with long streams in progress and callers that hold its address:
-// no request is cut, the process exits with 0, and the shards have other owners.
+// TestGracefulStop stops a node by SIGTERM under load, with streams of 3 s in progress and callers that go on sending calls to its
+// address. No caller may have to send a request twice, the process has to exit with status 0, and the other nodes have to own all shards.
 func TestGracefulStop(t *testing.T) {
 	slow := quickEngine
 	slow.TokenTime = 100 * time.Millisecond
-	b := newBench(t, benchOptions{nodes: 3, engines: 3, tools: 1, engine: slow})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 3, tools: 1, engine: slow})
 	old := hgcaller.NewClient(b.nodes[1].public)
 	defer old.Close()
 	var wg sync.WaitGroup
@@ -44,14 +44,14 @@
 	}
 	wg.Wait()
 	select {
-	case err := <-b.nodes[1].stopped:
-		b.nodes[1].stopped <- err
+	case err := <-b.nodes[1].exited:
+		b.nodes[1].exited <- err
 		if err != nil {
 			t.Errorf("exit: %v\n%s", err, b.nodes[1].out)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("the node did not end\n%s", b.nodes[1].out)
+		t.Fatalf("the node did not exit within 20 s after the last answer\n%s", b.nodes[1].out)
 	}
-	t.Logf("ended %s after the signal", time.Since(began).Round(time.Millisecond))
+	t.Logf("exited %s after the signal", time.Since(began).Round(time.Millisecond))
 	b.waitOwned(2)
 }
--- a/internal/proof/hgproof/fault_test.go
+++ b/internal/proof/hgproof/fault_test.go
@@ -17,12 +17,13 @@
 	"hyssopgrade/internal/serve/hgcaller"
 )
 
+// shardOf returns a program's shard in a testBench, whose cell has 16.
 func shardOf(program string) uint32 { return hgshard.Of(program, 16) }
 
-// TestCrashingRequest sends a request that crashes its endpoint again and again, under new identifiers and through all
-// nodes, beside innocent ones: at most two endpoints are lost, and the innocents finish.
+// TestCrashingRequest sends ten requests whose content crashes any endpoint, each as a program of its own and in turn through all nodes, beside
+// ordinary load. Nodes have to quarantine the content: at most two endpoints may crash, and the other programs have to finish.
 func TestCrashingRequest(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 4, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 4, tools: 1, engine: quickEngine})
 	b.setFault("engine", hgstandin.Fault{CrashOn: "poison", RestartMs: 300})
 	var wg sync.WaitGroup
 	for i := range 12 {
@@ -49,10 +50,11 @@
 	}
 }
 
-// TestCrashingCopiesAtOnce sends copies of a request that crashes its endpoint at one instant, as programs of their own
-// with different owners: at most two endpoints are lost, and copies of an innocent request are all answered.
+// TestCrashingCopiesAtOnce sends twelve copies of a request that crashes its endpoint at the same time, each as a program of its own, so
+// that different nodes dispatch them before any has seen a crash. At most two endpoints may crash, and twelve copies of a harmless request,
+// sent at the same time, have to be answered.
 func TestCrashingCopiesAtOnce(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 4, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 4, tools: 1, engine: quickEngine})
 	b.setFault("engine", hgstandin.Fault{CrashOn: "poison", RestartMs: 300})
 	var wg sync.WaitGroup
 	for i := range 24 {
@@ -73,9 +75,10 @@
 	}
 }
 
-// TestHungTool ends at the deadline with a typed outcome.
+// TestHungTool checks that a call to a tool that never answers ends at its deadline with the outcome unknown, that the tool got the call
+// only once, and that a repeat of the call gets the same outcome.
 func TestHungTool(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 2, engines: 1, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 2, engines: 1, tools: 1, engine: quickEngine})
 	b.setFault("tool", hgstandin.Fault{Hang: true})
 	for idempotent, reason := range map[bool]hgcall.Reason{true: hgcall.ReasonDeadline, false: hgcall.ReasonDispatched} {
 		c := tool(fmt.Sprintf("hung-%t", idempotent), 1, "gate/open", idempotent)
@@ -97,27 +100,28 @@
 	}
 }
 
-// callUntilRun sends a call, under a new identifier when it was not run, and counts how often it was sent.
-func (b *bench) callUntilRun(ctx context.Context, c hgcall.Call) (a hgcaller.Answer, asks int, err error) {
+// callUntilRun sends a call until it has an outcome other than a retriable "not run", after which it uses a new identifier. It returns how
+// often the call was sent under all identifiers.
+func (b *testBench) callUntilRun(ctx context.Context, c hgcall.Call) (a hgcaller.Answer, attempts int, err error) {
 	request := c.Request
 	for try := 0; ; try++ {
 		c.Request = fmt.Sprintf("%s-%d", request, try)
 		a, err = b.client.Call(ctx, c)
-		asks += a.Tries
+		attempts += a.Tries
 		r := refusalOf(err)
 		if r.Kind != hgcall.KindNotRun || r.RetryAfter == 0 {
-			return a, asks, err
+			return a, attempts, err
 		}
 		time.Sleep(r.RetryAfter)
 	}
 }
 
-// TestNoRetryStormAfterOutage sends calls while the store is away: when it is back each is answered, dispatches stay within the
-// preset's share of retries, and no caller asks more often than once a second, and twice more.
+// TestNoRetryStormAfterOutage sends calls during a store outage of 3 s. Afterwards each has to be answered, dispatches may exceed the calls
+// only by the preset's share of retries (10 %), and each caller may send its call once per second of the outage and twice more.
 func TestNoRetryStormAfterOutage(t *testing.T) {
 	const calls, retryPercent = 90, 10
-	const outage, maxAsks = 3 * time.Second, 3 + 2
-	b := newBench(t, benchOptions{nodes: 3, engines: 3, tools: 1, engine: quickEngine})
+	const outage, maxAttempts = 3 * time.Second, 3 + 2
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 3, tools: 1, engine: quickEngine})
 	b.platform.Store.SetFault(hgstore.Fault{Down: true})
 	time.AfterFunc(outage, func() { b.platform.Store.SetFault(hgstore.Fault{}) })
 	var wg sync.WaitGroup
@@ -125,22 +129,22 @@
 		c := model(fmt.Sprintf("outage-%d", i), 1, fmt.Sprintf("question %d", i))
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-			a, asks, err := b.callUntilRun(t.Context(), c)
-			if err != nil || a.State != hgcall.Done || asks > maxAsks {
-				t.Errorf("%s: %v %v after %d asks", c.Request, a.State, err, asks)
+			a, attempts, err := b.callUntilRun(t.Context(), c)
+			if err != nil || a.State != hgcall.Done || attempts > maxAttempts {
+				t.Errorf("%s: %v %v after %d attempts", c.Request, a.State, err, attempts)
 			}
 		})
 	}
 	wg.Wait()
-	if n := len(b.record()); n > calls*(100+retryPercent)/100 {
+	if n := len(b.executions()); n > calls*(100+retryPercent)/100 {
 		t.Errorf("%d dispatches of %d calls", n, calls)
 	}
 }
 
-// TestStoreOutage takes the store away: new calls are refused within 3 s with a time to come back, and when the store is
-// back everything that was answered is there.
+// TestStoreOutage makes the store unreachable. The end of a program has to be refused within 3 s with a retry-after time, a call sent
+// during the outage has to run once and be answered afterwards, and the history answered before the outage has to be complete.
 func TestStoreOutage(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 2, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 2, tools: 1, engine: quickEngine})
 	seen := b.converse(t.Context(), "outage", 1, 2, nil)
 	b.platform.Store.SetFault(hgstore.Fault{Down: true})
 	time.Sleep(time.Second)
@@ -164,7 +168,7 @@
 	time.Sleep(4 * time.Second)
 	b.platform.Store.SetFault(hgstore.Fault{})
 	if err := <-answered; err != nil {
-		t.Errorf("call that came back after the outage: %v", err)
+		t.Errorf("call sent during the outage: %v", err)
 	}
 	if n := len(b.runs(during.Request)); n != 1 {
 		t.Errorf("%s ran %d times", during.Request, n)
--- a/internal/proof/hgproof/history_test.go
+++ b/internal/proof/hgproof/history_test.go
@@ -15,8 +15,9 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-// converse runs turns of a program and returns the conversation that its caller saw.
-func (b *bench) converse(ctx context.Context, program string, from, turns int, seen []hgcall.Message) []hgcall.Message {
+// converse runs turns of a program one after the other, numbered from from, checks each answer, and returns the conversation that the
+// caller has seen: the messages in seen and the new ones.
+func (b *testBench) converse(ctx context.Context, program string, from, turns int, seen []hgcall.Message) []hgcall.Message {
 	b.t.Helper()
 	for i := from; i < from+turns; i++ {
 		c := model(program, uint64(i), fmt.Sprintf("%s says %d", program, i))
@@ -34,8 +35,8 @@
 	return seen
 }
 
-// checkHistory compares a program's history with what its caller saw.
-func (b *bench) checkHistory(program string, seen []hgcall.Message) {
+// checkHistory compares a program's history with the conversation that its caller has seen.
+func (b *testBench) checkHistory(program string, seen []hgcall.Message) {
 	b.t.Helper()
 	var h hgfront.History
 	b.eventually("history of "+program, benchTimeout, func() bool {
@@ -51,10 +52,10 @@
 	}
 }
 
-// TestHistorySurvivesKills kills the owner at several steps of a turn, and right after an answer, while the store is slow
-// and another program talks beside.
+// TestHistorySurvivesKills kills a program's owner at different times within a turn, and another program's owner right after an answer,
+// while each store operation takes 40 ms longer. An acknowledged turn must not be lost, nor a turn appear twice.
 func TestHistorySurvivesKills(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 4, engines: 2, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 4, engines: 2, tools: 1, engine: quickEngine})
 	programs := []string{"dispute-a", "dispute-b"}
 	seen := map[string][]hgcall.Message{}
 	var mu sync.Mutex
@@ -73,11 +74,11 @@
 		victim := b.owner(programs[0])
 		b.kill(victim)
 		wg.Wait()
-		answered := b.owner(programs[1])
-		b.kill(answered)
+		second := b.owner(programs[1])
+		b.kill(second)
 		b.start(victim)
-		if answered != victim {
-			b.start(answered)
+		if second != victim {
+			b.start(second)
 		}
 		b.waitOwned(4)
 	}
@@ -86,10 +87,10 @@
 	}
 }
 
-// TestHistoryAfterFreeze freezes the owner in the middle of a turn until its shards are taken over, and wakes it:
-// what it held is neither committed nor shown.
+// TestHistoryAfterFreeze suspends a program's owner in the middle of a turn until another node has taken its shards over, and resumes it.
+// The old owner may neither commit its unfinished turn nor return it as part of the history.
 func TestHistoryAfterFreeze(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 4, engines: 2, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 4, engines: 2, tools: 1, engine: quickEngine})
 	seen := b.converse(t.Context(), "frozen", 1, 2, nil)
 	victim := b.owner("frozen")
 	done := make(chan []hgcall.Message, 1)
@@ -97,10 +98,10 @@
 	time.Sleep(8 * time.Millisecond)
 	b.freeze(victim)
 	seen = <-done
-	b.thaw(victim)
+	b.resume(victim)
 	seen = b.converse(t.Context(), "frozen", 6, 2, seen)
 	b.checkHistory("frozen", seen)
-	b.eventually("the woken node gave its shards up", benchTimeout, func() bool {
+	b.eventually("the resumed node sees all members", benchTimeout, func() bool {
 		o, err := b.overview(victim)
 		return err == nil && len(o.Members) == 4
 	})
--- a/internal/proof/hgproof/leaving_test.go
+++ b/internal/proof/hgproof/leaving_test.go
@@ -11,8 +11,8 @@
 	"hyssopgrade/internal/proof/hgstandin"
 )
 
-// load makes programs talk through all nodes until the returned function is called.
-func (b *bench) load(programs int) (stop func()) {
+// startLoad runs programs that send one call after the other until stop is called. It ignores the calls' outcomes.
+func (b *testBench) startLoad(programs int) (stop func()) {
 	ctx, cancel := context.WithCancel(b.t.Context())
 	var wg sync.WaitGroup
 	for i := range programs {
@@ -28,25 +28,25 @@
 	}
 }
 
-// TestLeavingEndpointGetsNoNewWork lets an endpoint say that it leaves, while the VM list lags by 30 s, and another one
-// leave by the list alone: neither starts a call 3 s after it said so, or was listed.
+// TestLeavingEndpointGetsNoNewWork announces that an endpoint leaves, in one case by its load report while the VM list is 30 s old, in the
+// other by the VM list alone. From 3 s after the announcement on, no call may start at the endpoint.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	leave := map[string]func(b *bench){
-		"by its report, list lags": func(b *bench) {
+	announce := map[string]func(b *testBench){
+		"by its report, list lags": func(b *testBench) {
 			b.platform.Store.SetFault(hgstore.Fault{LagMs: 30_000})
 			b.platform.Store.SetVMs([]hgstore.VM{{Address: b.endpoints["engine-0"].Address(), State: hgstore.VMLeaving}})
 			b.endpoints["engine-0"].SetFault(hgstandin.Fault{Leaving: true})
 		},
-		"by the list": func(b *bench) {
+		"by the list": func(b *testBench) {
 			b.platform.Store.SetVMs([]hgstore.VM{{Address: b.endpoints["engine-0"].Address(), State: hgstore.VMLeaving}})
 		},
 	}
-	for name, fn := range leave {
+	for name, fn := range announce {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, benchOptions{nodes: 3, engines: 2, tools: 1, engine: quickEngine})
+			b := newTestBench(t, testBenchOptions{nodes: 3, engines: 2, tools: 1, engine: quickEngine})
 			b.platform.Store.SetVMs(nil)
-			stop := b.load(6)
+			stop := b.startLoad(6)
 			time.Sleep(300 * time.Millisecond)
 			fn(b)
 			limit := time.Now().Add(3 * time.Second).UnixMicro()
--- a/internal/proof/hgproof/once_test.go
+++ b/internal/proof/hgproof/once_test.go
@@ -11,16 +11,19 @@
 	"hyssopgrade/internal/proof/hgstandin"
 )
 
-// TestAtMostOnce sends requests that may not be repeated, each twice through different nodes, while faults come:
-// none runs twice, and what is answered as done ran once.
+// TestAtMostOnce sends requests that may not be repeated, each through two nodes at the same time, while a fault is injected. None may run
+// twice, and each that is answered as done has to have run.
 func TestAtMostOnce(t *testing.T) {
-	faults := map[string]func(b *bench, victim int){
-		"lost replies of the store":   func(b *bench, _ int) { b.platform.Store.SetFault(hgstore.Fault{LoseReplies: 8}) },
-		"lost replies of the tools":   func(b *bench, _ int) { b.setFault("tool", hgstandin.Fault{LoseReplies: 8}) },
-		"lost replies, no outcomes":   func(b *bench, _ int) { b.setFault("tool", hgstandin.Fault{LoseReplies: 8, HideOutcomes: true}) },
-		"owner killed":                func(b *bench, victim int) { b.kill(victim) },
-		"owner frozen past takeover":  freezeAndThaw,
-		"owner killed, store failing": func(b *bench, victim int) { b.platform.Store.SetFault(hgstore.Fault{LoseReplies: 8}); b.kill(victim) },
+	faults := map[string]func(b *testBench, victim int){
+		"lost replies of the store":  func(b *testBench, _ int) { b.platform.Store.SetFault(hgstore.Fault{LoseReplies: 8}) },
+		"lost replies of the tools":  func(b *testBench, _ int) { b.setFault("tool", hgstandin.Fault{LoseReplies: 8}) },
+		"lost replies, no outcomes":  func(b *testBench, _ int) { b.setFault("tool", hgstandin.Fault{LoseReplies: 8, HideOutcomes: true}) },
+		"owner killed":               func(b *testBench, victim int) { b.kill(victim) },
+		"owner frozen past takeover": freezeAndResume,
+		"owner killed, store failing": func(b *testBench, victim int) {
+			b.platform.Store.SetFault(hgstore.Fault{LoseReplies: 8})
+			b.kill(victim)
+		},
 	}
 	for _, fencing := range []bool{false, true} {
 		opts := quickEngine
@@ -28,7 +31,7 @@
 		for name, fault := range faults {
 			t.Run(fmt.Sprintf("%s, fencing %t", name, fencing), func(t *testing.T) {
 				t.Parallel()
-				b := newBench(t, benchOptions{nodes: 3, engines: 1, tools: 2, engine: opts})
+				b := newTestBench(t, testBenchOptions{nodes: 3, engines: 1, tools: 2, engine: opts})
 				victim := b.owner("charge-0")
 				atMostOnce(t, b, func() { fault(b, victim) })
 			})
@@ -36,13 +39,14 @@
 	}
 }
 
-func freezeAndThaw(b *bench, victim int) {
+// freezeAndResume suspends a node for 4 s, which is longer than it takes the others to take its shards over.
+func freezeAndResume(b *testBench, victim int) {
 	b.freeze(victim)
-	time.AfterFunc(4*time.Second, func() { b.thaw(victim) })
+	time.AfterFunc(4*time.Second, func() { b.resume(victim) })
 }
 
-// atMostOnce sends the requests in a row, with the fault in the middle.
-func atMostOnce(t *testing.T, b *bench, fault func()) {
+// atMostOnce sends 40 requests, 3 ms apart, injects the fault after half of them, and checks how often each ran.
+func atMostOnce(t *testing.T, b *testBench, fault func()) {
 	var mu sync.Mutex
 	done := map[string]bool{}
 	var wg sync.WaitGroup
--- a/internal/proof/hgproof/order_test.go
+++ b/internal/proof/hgproof/order_test.go
@@ -14,10 +14,10 @@
 	"hyssopgrade/internal/proof/hgstandin"
 )
 
-// TestOrderAcrossNodes sends all calls of each program at once, shuffled, through all nodes, and kills an owner meanwhile:
-// every call runs, and none starts after a later one of its program.
+// TestOrderAcrossNodes sends all calls of each program at the same time, in random order and through different nodes, and meanwhile kills
+// a node that owns shards. Every call has to run, and none may start, or start again, after a later call of its program has started.
 func TestOrderAcrossNodes(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 4, engines: 2, tools: 2, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 4, engines: 2, tools: 2, engine: quickEngine})
 	rnd := rand.New(rand.NewPCG(1, 0))
 	const programs, calls = 8, 6
 	var wg sync.WaitGroup
@@ -40,11 +40,11 @@
 	b.kill(3)
 	wg.Wait()
 	for p := range programs {
-		checkStarts(t, b.record(), fmt.Sprintf("order-%d", p), calls)
+		checkStarts(t, b.executions(), fmt.Sprintf("order-%d", p), calls)
 	}
 }
 
-// checkStarts checks that a program's calls started in order.
+// checkStarts checks that the last start of each call of a program is earlier than the first start of the next call.
 func checkStarts(t *testing.T, record []hgstandin.Execution, program string, calls int) {
 	t.Helper()
 	xs := lo.Filter(record, func(x hgstandin.Execution, _ int) bool { return x.Program == program })
@@ -64,9 +64,10 @@
 	}
 }
 
-// TestGapIsRefused sends a call whose predecessor never comes.
+// TestGapIsRefused sends call 3 of a program whose call 2 never arrives. The call has to end as unknown at its deadline
+// without having run.
 func TestGapIsRefused(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 1, engines: 1, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 1, engines: 1, tools: 1, engine: quickEngine})
 	if _, err := b.client.Call(t.Context(), model("gap", 1, "one")); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +75,7 @@
 	c.Deadline = 2500 * time.Millisecond
 	_, err := b.client.Call(t.Context(), c)
 	if diff := cmp.Diff(hgcall.KindUnknown, refusalOf(err).Kind); diff != "" {
-		t.Errorf("kind after the caller's own deadline (-want +got):\n%s", diff)
+		t.Errorf("refusal kind at the deadline (-want +got):\n%s", diff)
 	}
 	if runs := b.runs(c.Request); len(runs) > 0 {
 		t.Errorf("call after a gap ran: %v", runs)
--- a/internal/proof/hgproof/preset_test.go
+++ b/internal/proof/hgproof/preset_test.go
@@ -17,14 +17,15 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-func (b *bench) presets(i int) (s hgfront.PresetStatus, err error) {
+// presets returns the status of the presets at node i.
+func (b *testBench) presets(i int) (s hgfront.PresetStatus, err error) {
 	ctx, cancel := context.WithTimeout(b.t.Context(), 500*time.Millisecond)
 	defer cancel()
 	return s, b.client.Get(ctx, b.nodes[i].public, "/v1/presets", &s)
 }
 
-// ready tells whether node i takes new work.
-func (b *bench) ready(i int) bool {
+// ready reports whether node i accepts new work.
+func (b *testBench) ready(i int) bool {
 	ctx, cancel := context.WithTimeout(b.t.Context(), 500*time.Millisecond)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.nodes[i].public+"/readyz", nil)
@@ -39,8 +40,8 @@
 	return w.StatusCode == http.StatusOK
 }
 
-// appliedBy returns the number of nodes that apply the version.
-func (b *bench) appliedBy(number uint64) int {
+// appliedBy returns the number of nodes that apply the given version of the preset.
+func (b *testBench) appliedBy(number uint64) int {
 	n := 0
 	for i := range b.nodes {
 		if s, err := b.presets(i); err == nil && s.Current.Number == number {
@@ -50,10 +51,11 @@
 	return n
 }
 
-// TestPresetRaces lets two operators choose at once, again and again, while the store loses replies:
-// each version is accepted once, its loser is told, and within 10 s the last one is in force everywhere.
+// TestPresetRaces selects two presets at the same time through different nodes, in eight rounds, while the store loses replies to commits.
+// Each version may be accepted for one operator only, the other has to get a conflict error, and within 10 s all nodes have to apply the
+// last version.
 func TestPresetRaces(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
 	var mu sync.Mutex
 	accepted := map[uint64]string{}
 	for round := range 8 {
@@ -86,15 +88,15 @@
 		last = max(last, n)
 	}
 	if diff := cmp.Diff(int(last), len(accepted)); diff != "" {
-		t.Errorf("versions and acceptances (-want +got):\n%s", diff)
+		t.Errorf("last version and number of accepted versions (-want +got):\n%s", diff)
 	}
-	b.eventually("the last version is in force everywhere", 10*time.Second, func() bool { return b.appliedBy(last) == 3 })
+	b.eventually("all nodes apply the last version", 10*time.Second, func() bool { return b.appliedBy(last) == 3 })
 }
 
-// TestPresetSwitchUnderLoad changes the preset again and again while a trace is replayed and new programs are refused now
-// and then: no program loses a call, and none is refused for good.
+// TestPresetSwitchUnderLoad changes the preset every 400 ms while a trace is replayed. One of the presets admits no new programs; their
+// callers retry. No program may lose a call, and every program has to be completed.
 func TestPresetSwitchUnderLoad(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 3, tools: 3, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 3, tools: 3, engine: quickEngine})
 	ctx, cancel := context.WithCancel(t.Context())
 	var switches []string
 	var wg sync.WaitGroup
@@ -111,19 +113,20 @@
 	r := b.replay(t.Context(), "fjordbom", "", 1)
 	cancel()
 	wg.Wait()
-	r.CheckRecords(b.record())
+	r.CheckRecords(b.executions())
 	t.Logf("%d switches; done %d, undone %d, refusals %v, latency %+v", len(switches), r.Done, r.Undone, r.Refusals, r.Latency())
 	if diff := cmp.Diff([]string{}, r.Violations); diff != "" {
 		t.Errorf("violations (-want +got):\n%s", diff)
 	}
 	if r.Undone > 0 || len(switches) < 6 {
-		t.Errorf("%d programs have no answer after %d switches", r.Undone, len(switches))
+		t.Errorf("%d programs were not completed, with %d switches of the preset", r.Undone, len(switches))
 	}
 }
 
-// TestPresetNeverReverts freezes a node over a change: when it wakes it goes on with the new version or takes no work.
+// TestPresetNeverReverts suspends a node while the preset changes. After it is resumed, the node may accept work only under the new
+// version, and the version that it applies may never decrease.
 func TestPresetNeverReverts(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
 	b.usePreset("first", func(*hgpreset.Preset) {})
 	b.freeze(2)
 	time.Sleep(5 * time.Second)
@@ -131,7 +134,7 @@
 	if err := b.client.Post(t.Context(), b.nodes[0].public, "/v1/presets/use", map[string]string{"name": "peak", "by": "test"}, &v); err != nil {
 		t.Fatal(err)
 	}
-	b.thaw(2)
+	b.resume(2)
 	end := time.Now().Add(3 * time.Second)
 	newest := uint64(0)
 	for time.Now().Before(end) {
@@ -141,43 +144,44 @@
 			continue
 		}
 		if s.Current.Number < newest || ready && s.Current.Number < v.Number {
-			t.Fatalf("woken node applies version %d, ready %t, after %d was seen and %d accepted", s.Current.Number, ready, newest, v.Number)
+			t.Fatalf("resumed node applies version %d, ready %t; it applied %d before, and %d was accepted", s.Current.Number, ready, newest, v.Number)
 		}
 		newest = s.Current.Number
 	}
 	if diff := cmp.Diff(v.Number, newest); diff != "" {
-		t.Errorf("version of the woken node (-want +got):\n%s", diff)
+		t.Errorf("version of the resumed node (-want +got):\n%s", diff)
 	}
 }
 
-// TestNoWorkUnderUnconfirmedPreset takes the store and all peers from a node: it takes no new work within the bound.
+// TestNoWorkUnderUnconfirmedPreset cuts a node off from the store and from all peers, so that nothing confirms its preset. The node has to
+// stop accepting new work after the bound (4 s in these settings), and a call sent to it then may not run.
 func TestNoWorkUnderUnconfirmedPreset(t *testing.T) {
-	b := newBench(t, benchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
+	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
 	b.platform.Store.SetFault(hgstore.Fault{Down: true})
 	b.kill(1)
 	b.kill(2)
 	client := b.via(0)
 	if !b.ready(0) {
-		t.Error("the node takes no work while its preset is confirmed")
+		t.Error("the node accepts no work although its preset is confirmed")
 	}
 	b.eventually("the node refuses new work", 6*time.Second, func() bool { return !b.ready(0) })
 	program := "alone-0"
-	for i := 0; b.ownedBy(program) != "node-0"; i++ {
+	for i := 0; b.ownerSeen(program) != "node-0"; i++ {
 		program = fmt.Sprintf("alone-%d", i)
 	}
 	c := model(program, 1, "hello")
 	c.Deadline = time.Second
 	_, err := client.Call(t.Context(), c)
 	if err == nil || len(b.runs(c.Request)) > 0 {
-		t.Errorf("new work was taken: %v", err)
+		t.Errorf("new work was accepted: %v", err)
 	}
 	if kind := refusalOf(err).Kind; kind == hgcall.KindNotRun {
-		t.Errorf("kind %q", kind)
+		t.Errorf("refusal kind %q, want any other", kind)
 	}
 }
 
-// ownedBy returns the owner of a program as the first node knows it.
-func (b *bench) ownedBy(program string) string {
+// ownerSeen returns the owner of a program's shard as seen by the first node.
+func (b *testBench) ownerSeen(program string) string {
 	o, err := b.overview(0)
 	if err != nil {
 		b.t.Fatal(err)
--- a/internal/proof/hgproof/storm_test.go
+++ b/internal/proof/hgproof/random_test.go
@@ -14,8 +14,8 @@
 	"hyssopgrade/hgstore"
 )
 
-// stormSeeds returns the seeds to run: HGPROOF_SEED alone, if it is set.
-func stormSeeds(t *testing.T) []uint64 {
+// faultSeeds returns the seeds of TestRandomFaults. HGPROOF_SEED replaces them by one.
+func faultSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	s := os.Getenv("HGPROOF_SEED")
 	if s == "" {
@@ -28,12 +28,12 @@
 	return []uint64{seed}
 }
 
-// drainSeed is the first seed whose storms also hold planned stops.
+// drainSeed is the first seed whose faults include planned stops by SIGTERM.
 const drainSeed = 100
 
-// storm brings about faults in turn until ctx ends: kills with restarts, freezes past the takeover, outages, lost replies,
-// and, with drains, planned stops.
-func (b *bench) storm(ctx context.Context, rnd *rand.Rand, drains bool) {
+// injectFaults injects random faults one after the other until ctx ends: kills with restarts, suspensions that may outlast a takeover,
+// lost replies and outages of the store, and, if drains is set, planned stops with restarts.
+func (b *testBench) injectFaults(ctx context.Context, rnd *rand.Rand, drains bool) {
 	kinds := 4
 	if drains {
 		kinds++
@@ -58,7 +58,7 @@
 		case 1:
 			b.freeze(i)
 			pause(time.Duration(1500+rnd.IntN(2500)) * time.Millisecond)
-			b.thaw(i)
+			b.resume(i)
 		case 2:
 			b.platform.Store.SetFault(hgstore.Fault{LoseReplies: 1 + rnd.IntN(5)})
 		case 3:
@@ -73,8 +73,8 @@
 	}
 }
 
-// logIfFailed prints the logs of the nodes' last runs after a failure.
-func (b *bench) logIfFailed() {
+// logIfFailed prints each node's log since its last start if the test has failed.
+func (b *testBench) logIfFailed() {
 	if !b.t.Failed() {
 		return
 	}
@@ -83,19 +83,20 @@
 	}
 }
 
-// TestStorm replays both traces while nodes die, freeze and restart and the platform fails:
-// every program gets its answers, none is wrong, nothing that was refused as not run has run, and nothing runs twice that may not.
-// Only where endpoints check no fencing numbers may a program stop at a call that was never dispatched and may not be repeated.
-func TestStorm(t *testing.T) {
+// TestRandomFaults replays a trace, which one depends on the seed, while nodes are killed, suspended and restarted and the store fails.
+// Every program has to get its answers, and they have to be right. A request that was refused as not run may not have run, and a request
+// that may not be repeated may run only once. Only if endpoints don't check fencing numbers may a program stop at a call that must not be
+// repeated and was never dispatched: its new owner can't then rule out that the previous owner still dispatches it.
+func TestRandomFaults(t *testing.T) {
 	for _, fencing := range []bool{false, true} {
-		for _, seed := range stormSeeds(t) {
-			t.Run(fmt.Sprintf("%d, fencing %t", seed, fencing), func(t *testing.T) { stormOnce(t, seed, fencing) })
+		for _, seed := range faultSeeds(t) {
+			t.Run(fmt.Sprintf("%d, fencing %t", seed, fencing), func(t *testing.T) { replayWithFaults(t, seed, fencing) })
 		}
 	}
 }
 
-// stormNodes returns the number of nodes: HGPROOF_NODES, if it is set.
-func stormNodes(t *testing.T) int {
+// faultNodes returns the number of nodes for TestRandomFaults: HGPROOF_NODES, or else 4.
+func faultNodes(t *testing.T) int {
 	t.Helper()
 	s := os.Getenv("HGPROOF_NODES")
 	if s == "" {
@@ -108,20 +109,21 @@
 	return n
 }
 
-func stormOnce(t *testing.T, seed uint64, fencing bool) {
+// replayWithFaults replays a trace with random faults during the first 12 s, and checks the outcomes against the endpoints' records.
+func replayWithFaults(t *testing.T, seed uint64, fencing bool) {
 	opts := quickEngine
 	opts.ChecksFencing = fencing
-	b := newBench(t, benchOptions{nodes: stormNodes(t), engines: 3, tools: 3, engine: opts})
+	b := newTestBench(t, testBenchOptions{nodes: faultNodes(t), engines: 3, tools: 3, engine: opts})
 	ctx, cancel := context.WithTimeout(t.Context(), 12*time.Second)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		b.storm(ctx, rand.New(rand.NewPCG(seed, 0)), seed >= drainSeed)
+		b.injectFaults(ctx, rand.New(rand.NewPCG(seed, 0)), seed >= drainSeed)
 	}()
 	r := b.replay(t.Context(), []string{"derwent", "fjordbom"}[seed%2], "", 0.6)
 	<-done
-	records := b.record()
+	records := b.executions()
 	r.CheckRecords(records)
 	t.Logf("done %d, undone %d, refusals %v, latency %+v", r.Done, r.Undone, r.Refusals, r.Latency())
 	if diff := cmp.Diff([]string{}, r.Violations); diff != "" {
@@ -132,6 +134,6 @@
 		allowed = len(r.Undetermined(records))
 	}
 	if r.Undone > allowed {
-		t.Errorf("%d programs have no answer, of which %d stopped at a call that was never dispatched", r.Undone, allowed)
+		t.Errorf("%d programs were not completed, %d calls with unknown outcome were never dispatched", r.Undone, allowed)
 	}
 }
--- a/internal/proof/hgproof/refusal_test.go
+++ b/internal/proof/hgproof/refusal_test.go
@@ -10,12 +10,13 @@
 	"hyssopgrade/hgpreset"
 )
 
-// TestNotRunNeverRuns overloads the engines, with each request sent through two nodes, and sends what was refused as
-// not run again, also after its owner was killed: none of it is in any record.
+// TestNotRunNeverRuns overloads the engine with requests that are each sent through two nodes. It then kills a node and repeats, under the
+// same identifiers, the requests that were refused as "not run". These have to be refused in the same way, and no endpoint may have recorded
+// them: after such a refusal a caller may send its request under a new identifier, so that it would run twice.
 func TestNotRunNeverRuns(t *testing.T) {
 	slow := quickEngine
 	slow.TokenTime = 20 * time.Millisecond
-	b := newBench(t, benchOptions{nodes: 4, engines: 1, tools: 1, engine: slow})
+	b := newTestBench(t, testBenchOptions{nodes: 4, engines: 1, tools: 1, engine: slow})
 	b.usePreset("tight", func(p *hgpreset.Preset) {
 		p.Window, p.MinWindow, p.MaxWindow, p.MaxNewWaitMs = 1, 1, 1, 300
 	})
--- a/internal/proof/hgproof/bench_test.go
+++ b/internal/proof/hgproof/testbench_test.go
@@ -24,13 +24,14 @@
 	"hyssopgrade/internal/serve/hgfront"
 )
 
-// binary is the program under test.
+// binary is the path of the hyssopgrade command, built by TestMain.
 var binary string
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
 }
 
+// run builds the command and runs the tests. It is not part of TestMain because os.Exit skips deferred calls.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "hgproof")
 	if err != nil {
@@ -45,18 +46,22 @@
 	return m.Run()
 }
 
-// nodeProcess is one node as a real process.
+// nodeProcess is a node that runs as a process of its own.
 type nodeProcess struct {
-	id      string
-	public  string
-	config  string
-	cmd     *exec.Cmd
-	out     *lockedBuffer
-	stopped chan error
+	id string
+	// public is the node's public address.
+	public string
+	// config is the path of the settings file.
+	config string
+	cmd    *exec.Cmd
+	// out holds the process's log since its last start.
+	out *lockedBuffer
+	// exited receives the result of the process's Wait. Whoever receives it sends it back for the next.
+	exited chan error
 }
 
-// bench is a cell of node processes with stand-ins in the test's process.
-type bench struct {
+// testBench is a cell of node processes, with fake platform and endpoints in the test's process.
+type testBench struct {
 	t         *testing.T
 	platform  *hgstandin.Platform
 	endpoints map[string]*hgstandin.Endpoint
@@ -64,16 +69,16 @@
 	client    *hgcaller.Client
 }
 
-type benchOptions struct {
+type testBenchOptions struct {
 	nodes   int
 	engines int
 	tools   int
 	engine  hgstandin.Options
-	// limits are lines added to the settings' limits.
+	// limits holds lines in TOML that are added to the section [limits] of the settings.
 	limits string
 }
 
-// lockedBuffer is a buffer for a process's log.
+// lockedBuffer is a buffer that a process's log may be written to while a test reads it.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -91,12 +96,13 @@
 	return b.buf.String()
 }
 
-// quickEngine generates a token in a millisecond.
+// quickEngine takes 1 ms per generated token and 10 µs per prompt token that is not cached.
 var quickEngine = hgstandin.Options{TokenTime: time.Millisecond, PrefillTime: 10 * time.Microsecond, CacheTokens: 200_000}
 
-func newBench(t *testing.T, o benchOptions) *bench {
+// newTestBench starts a cell and waits until each shard has an owner. The cell stops at the end of the test.
+func newTestBench(t *testing.T, o testBenchOptions) *testBench {
 	t.Helper()
-	b := &bench{t: t, endpoints: map[string]*hgstandin.Endpoint{}}
+	b := &testBench{t: t, endpoints: map[string]*hgstandin.Endpoint{}}
 	var err error
 	if b.platform, err = hgstandin.NewPlatform("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -117,8 +123,8 @@
 	return b
 }
 
-// addEndpoints starts stand-ins and returns their settings.
-func (b *bench) addEndpoints(kind string, n int, opts hgstandin.Options) string {
+// addEndpoints starts fake endpoints of a kind and returns their settings in TOML.
+func (b *testBench) addEndpoints(kind string, n int, opts hgstandin.Options) string {
 	b.t.Helper()
 	var text strings.Builder
 	for i := range n {
@@ -136,7 +142,8 @@
 	return text.String()
 }
 
-func (b *bench) configure(dir string, i int, o benchOptions, eps string) *nodeProcess {
+// configure writes the settings of node i and returns the node, which doesn't run yet.
+func (b *testBench) configure(dir string, i int, o testBenchOptions, eps string) *nodeProcess {
 	b.t.Helper()
 	public, err1 := hgcell.FreeAddress()
 	inner, err2 := hgcell.FreeAddress()
@@ -173,8 +180,8 @@
 	return n
 }
 
-// start starts node i.
-func (b *bench) start(i int) {
+// start starts the process of node i, for the first time or again, and kills it at the end of the test.
+func (b *testBench) start(i int) {
 	b.t.Helper()
 	n := b.nodes[i]
 	n.out = &lockedBuffer{}
@@ -184,60 +191,62 @@
 	if err := n.cmd.Start(); err != nil {
 		b.t.Fatal(err)
 	}
-	n.stopped = make(chan error, 1)
-	go func(cmd *exec.Cmd, stopped chan error) { stopped <- cmd.Wait() }(n.cmd, n.stopped)
+	n.exited = make(chan error, 1)
+	go func(cmd *exec.Cmd, exited chan error) { exited <- cmd.Wait() }(n.cmd, n.exited)
 	b.t.Cleanup(func() { b.kill(i) })
 }
 
-func (b *bench) signal(i int, s syscall.Signal) { _ = b.nodes[i].cmd.Process.Signal(s) }
+func (b *testBench) signal(i int, s syscall.Signal) { _ = b.nodes[i].cmd.Process.Signal(s) }
 
-// kill kills node i and waits for its end.
-func (b *bench) kill(i int) {
+// kill ends node i by SIGKILL and waits until its process has exited.
+func (b *testBench) kill(i int) {
 	b.signal(i, syscall.SIGKILL)
-	err := <-b.nodes[i].stopped
-	b.nodes[i].stopped <- err
+	err := <-b.nodes[i].exited
+	b.nodes[i].exited <- err
 }
 
-// drain stops node i as planned and waits for its end, which must be in order.
-func (b *bench) drain(i int) {
+// drain stops node i by SIGTERM and waits until its process has exited. The test fails if the exit status is not 0.
+func (b *testBench) drain(i int) {
 	b.signal(i, syscall.SIGTERM)
-	err := <-b.nodes[i].stopped
-	b.nodes[i].stopped <- err
+	err := <-b.nodes[i].exited
+	b.nodes[i].exited <- err
 	if err != nil {
-		b.t.Errorf("planned stop of %s: %v", b.nodes[i].id, err)
+		b.t.Errorf("%s exited after SIGTERM with an error: %v", b.nodes[i].id, err)
 	}
 }
 
-func (b *bench) freeze(i int) { b.signal(i, syscall.SIGSTOP) }
+// freeze suspends the process of node i, whose connections stay open.
+func (b *testBench) freeze(i int) { b.signal(i, syscall.SIGSTOP) }
 
-func (b *bench) thaw(i int) { b.signal(i, syscall.SIGCONT) }
+// resume continues node i after freeze.
+func (b *testBench) resume(i int) { b.signal(i, syscall.SIGCONT) }
 
-func (b *bench) addresses() []string {
+func (b *testBench) addresses() []string {
 	return lo.Map(b.nodes, func(n *nodeProcess, _ int) string { return n.public })
 }
 
-// overview asks node i for its view.
-func (b *bench) overview(i int) (o hgfront.Overview, err error) {
+// overview returns the cell's status as node i sees it.
+func (b *testBench) overview(i int) (o hgfront.Overview, err error) {
 	return o, b.client.Get(b.t.Context(), b.nodes[i].public, "/v1/status", &o)
 }
 
-// benchTimeout bounds each wait for the cell.
+// benchTimeout bounds waits for the cell, such as for the owners of all shards.
 const benchTimeout = 30 * time.Second
 
-// eventually waits until ok returns true.
-func (b *bench) eventually(what string, within time.Duration, ok func() bool) {
+// eventually polls ok until it returns true. The test fails if that takes longer than within.
+func (b *testBench) eventually(what string, within time.Duration, ok func() bool) {
 	b.t.Helper()
 	end := time.Now().Add(within)
 	for !ok() {
 		if time.Now().After(end) {
-			b.t.Fatalf("%s: not within %s", what, within)
+			b.t.Fatalf("timeout after %s: %s", within, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// waitOwned waits until the first node sees an owner of each shard among so many members.
-func (b *bench) waitOwned(members int) {
+// waitOwned waits until the first node sees the given number of live members, an owner for each shard, and each member as an owner.
+func (b *testBench) waitOwned(members int) {
 	b.t.Helper()
 	b.eventually("each shard has an owner", benchTimeout, func() bool {
 		o, err := b.overview(0)
@@ -247,8 +256,8 @@
 	})
 }
 
-// owner returns the index of the node that owns a program's shard.
-func (b *bench) owner(program string) int {
+// owner returns the index of the node that owns a program's shard, by the first node that answers.
+func (b *testBench) owner(program string) int {
 	b.t.Helper()
 	found := -1
 	b.eventually("owner of "+program, benchTimeout, func() bool {
@@ -265,18 +274,18 @@
 	return found
 }
 
-// record returns the executions of all endpoints.
-func (b *bench) record() []hgstandin.Execution {
+// executions returns the records of all requests that the endpoints accepted.
+func (b *testBench) executions() []hgstandin.Execution {
 	return lo.FlatMap(lo.Values(b.endpoints), func(e *hgstandin.Endpoint, _ int) []hgstandin.Execution { return e.Executions() })
 }
 
-// runs returns the executions of one request.
-func (b *bench) runs(request string) []hgstandin.Execution {
-	return lo.Filter(b.record(), func(x hgstandin.Execution, _ int) bool { return x.Request == request })
+// runs returns the executions of the request with the given identifier.
+func (b *testBench) runs(request string) []hgstandin.Execution {
+	return lo.Filter(b.executions(), func(x hgstandin.Execution, _ int) bool { return x.Request == request })
 }
 
-// setFault sets a fault on all endpoints of a kind.
-func (b *bench) setFault(kind string, f hgstandin.Fault) {
+// setFault sets a fault on all endpoints of a kind, "engine" or "tool".
+func (b *testBench) setFault(kind string, f hgstandin.Fault) {
 	for id, e := range b.endpoints {
 		if strings.HasPrefix(id, kind) {
 			e.SetFault(f)
@@ -284,13 +293,14 @@
 	}
 }
 
-// via returns a client that only uses node i.
-func (b *bench) via(i int) *hgcaller.Client {
+// via returns a client that sends all calls to node i.
+func (b *testBench) via(i int) *hgcaller.Client {
 	c := hgcaller.NewClient(b.nodes[i].public)
 	b.t.Cleanup(c.Close)
 	return c
 }
 
+// model returns a model call of one message.
 func model(program string, seq uint64, text string) hgcall.Call {
 	return hgcall.Call{
 		Program: program, Seq: seq, Request: fmt.Sprintf("%s-%d", strings.ReplaceAll(program, "/", "."), seq), Kind: hgcall.Model, Target: "clerk-7b",
@@ -298,6 +308,7 @@
 	}
 }
 
+// tool returns a tool call that takes 20 ms.
 func tool(program string, seq uint64, target string, idempotent bool) hgcall.Call {
 	return hgcall.Call{
 		Program: program, Seq: seq, Request: fmt.Sprintf("%s-%d", strings.ReplaceAll(program, "/", "."), seq), Kind: hgcall.Tool, Target: target,
@@ -305,7 +316,7 @@
 	}
 }
 
-// refusalOf returns the refusal in an error, or an empty one.
+// refusalOf returns the refusal that an error wraps, or an empty one if there is none.
 func refusalOf(err error) hgcall.Refusal {
 	var r *hgcall.Refusal
 	if errors.As(err, &r) {
@@ -314,8 +325,8 @@
 	return hgcall.Refusal{}
 }
 
-// replay replays a shipped trace against the nodes.
-func (b *bench) replay(ctx context.Context, name, prefix string, speed float64) *hgreplay.Report {
+// replay replays a shipped trace against the nodes, speed times as fast as recorded. Program identifiers get the prefix.
+func (b *testBench) replay(ctx context.Context, name, prefix string, speed float64) *hgreplay.Report {
 	b.t.Helper()
 	programs, err := hgreplay.Shipped(name)
 	if err != nil {
