--- a/internal/proof/hgmodel/clock.go
+++ b/internal/proof/hgmodel/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Clock is virtual time with the events that are due; it serves as the timer of the parts under test. It is used by
-// one goroutine.
+// Clock is a discrete-event clock in virtual time. The production code under simulation uses it as its timer. A Clock is
+// not safe for concurrent use.
 type Clock struct {
 	now    time.Duration
 	events events
@@ -14,16 +14,16 @@
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -37,13 +37,14 @@
 // Now returns the virtual time.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At runs a function at a time, or at once if that has passed.
+// At schedules run for a virtual time; a time in the past means the current one. Events due at the same time run in the
+// order in which they were scheduled.
 func (c *Clock) At(at time.Duration, run func()) {
 	c.next++
-	heap.Push(&c.events, event{at: max(at, c.now), order: c.next, run: run})
+	heap.Push(&c.events, event{at: max(at, c.now), seq: c.next, run: run})
 }
 
-// After runs a function after a time unless the returned function is called first.
+// After calls fn once after the delay d, unless stop is called first.
 func (c *Clock) After(d time.Duration, fn func(now time.Duration)) (stop func()) {
 	stopped := false
 	c.At(c.now+d, func() {
@@ -54,25 +55,25 @@
 	return func() { stopped = true }
 }
 
-// Every runs a function once a period until the returned function is called.
+// Every calls fn once per period until stop is called.
 func (c *Clock) Every(period time.Duration, fn func(now time.Duration)) (stop func()) {
 	stopped := false
-	var again func()
-	again = func() {
+	var tick func()
+	tick = func() {
 		if stopped {
 			return
 		}
 		fn(c.now)
-		c.At(c.now+period, again)
+		c.At(c.now+period, tick)
 	}
-	c.At(c.now+period, again)
+	c.At(c.now+period, tick)
 	return func() { stopped = true }
 }
 
-// String names the timer.
+// String returns the name of this kind of timer.
 func (c *Clock) String() string { return "virtual" }
 
-// Run plays the events until a time.
+// Run processes the events due up to and including the time until, and then sets the clock to it.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
--- a/internal/proof/hgmodel/doc.go
+++ b/internal/proof/hgmodel/doc.go
@@ -1,4 +1,5 @@
-// Package hgmodel plays agent programs on model engines in virtual time, so that ways to place and queue their turns can
-// be compared in seconds. The engines batch, read prompts in chunks between tokens, keep parts of prompts while memory
-// lasts, and refuse what their queue does not hold; the parts of the product that decide are the real ones.
+// Package hgmodel simulates agent programs on model engines in virtual time, so that policies for placing and queueing
+// their turns can be compared within seconds. The simulated engines use continuous batching, chunked prefill, a prefix
+// cache of bounded size and a bounded queue that refuses the excess. Replica selection and the placer's queue are the
+// production code.
 package hgmodel
--- a/internal/proof/hgmodel/engine.go
+++ b/internal/proof/hgmodel/engine.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// EngineConfig is the size and the speed of the engines.
+// EngineConfig describes the capacity and the speed of an engine.
 type EngineConfig struct {
-	// Slots is the number of requests that run at once, and Queue of those that wait beyond them.
+	// Slots is the largest batch, and Queue the largest number of requests that wait for a slot.
 	Slots, Queue int
-	// MemoryTokens is the memory for running requests and kept parts.
+	// MemoryTokens is the size of the KV cache, which holds running requests and cached prompt segments.
 	MemoryTokens int
-	// Step is the time of a step, in which each running request makes a token; PerSlot is added for each of them, and
-	// PerKiloToken for each thousand tokens of their prompts.
-	Step, PerSlot, PerKiloToken time.Duration
-	// ReadPerToken is the time to read a token of a prompt, in chunks of ChunkTokens between the steps.
-	ReadPerToken time.Duration
-	ChunkTokens  int
-	// FetchPerToken is the time to fetch a kept token from another engine, and FetchSetup what each fetch takes besides.
+	// A step generates one token for each running request. It takes StepBase, StepPerRequest for each running request,
+	// and StepPerKiloToken for each thousand tokens of their contexts.
+	StepBase, StepPerRequest, StepPerKiloToken time.Duration
+	// PrefillPerToken is the time to compute one prompt token. A step computes at most ChunkTokens of them.
+	PrefillPerToken time.Duration
+	ChunkTokens     int
+	// FetchPerToken is the time to copy one cached token from another engine, and FetchSetup the fixed time of each copy.
 	FetchPerToken, FetchSetup time.Duration
 }
 
-// job is one request on an engine.
-type job struct {
-	prompt []Part
-	// want is the number of tokens to make.
-	want int
-	// fetch is the engine to fetch kept parts from, or nil.
-	fetch *engine
+// request is one request on an engine.
+type request struct {
+	prompt       []Segment
+	outputTokens int
+	// fetchFrom is the engine to copy cached segments from, or nil.
+	fetchFrom *engine
 
-	unread, made int
-	cancelled    bool
-	// first and done are called at the first token and at the end; refused if the engine does not take the request.
-	first, done, refused func()
+	prefillLeft, generated int
+	cancelled              bool
+	// onFirstToken and onDone are called at the first and the last token, onRefused if the engine's queue is full.
+	onFirstToken, onDone, onRefused func()
 }
 
 type engine struct {
 	id      int
 	cfg     EngineConfig
 	clock   *Clock
-	memory  *memory
-	waiting []*job
-	running []*job
+	cache   *kvCache
+	waiting []*request
+	running []*request
 	busy    bool
-	// read, moved, refusals and preempted count tokens and requests.
-	read, moved, refusals, preempted int
+	// prefilled and fetched count prompt tokens, computed here or copied from another engine; refusals and preempted count
+	// requests.
+	prefilled, fetched, refusals, preempted int
 }
 
 func newEngine(id int, cfg EngineConfig, clock *Clock) *engine {
-	return &engine{id: id, cfg: cfg, clock: clock, memory: newMemory(cfg.MemoryTokens)}
+	return &engine{id: id, cfg: cfg, clock: clock, cache: newKVCache(cfg.MemoryTokens)}
 }
 
-// submit takes a request, or refuses it.
-func (e *engine) submit(j *job) {
+// submit queues a request, or refuses it if the queue is full.
+func (e *engine) submit(req *request) {
 	if len(e.waiting) >= e.cfg.Queue {
 		e.refusals++
-		j.refused()
+		req.onRefused()
 		return
 	}
-	e.waiting = append(e.waiting, j)
+	e.waiting = append(e.waiting, req)
 	e.start()
 }
 
@@ -69,42 +69,43 @@
 	}
 }
 
-// cancel ends a request before its time.
-func (e *engine) cancel(j *job) {
-	j.cancelled = true
-	if i := slices.Index(e.waiting, j); i >= 0 {
+// cancel removes a request from the queue or the batch.
+func (e *engine) cancel(req *request) {
+	req.cancelled = true
+	if i := slices.Index(e.waiting, req); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 	}
-	if i := slices.Index(e.running, j); i >= 0 {
+	if i := slices.Index(e.running, req); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.memory.leave(j.prompt)
+		e.cache.release(req.prompt)
 	}
 }
 
-// admit moves waiting requests into the batch, in the order of their arrival, and returns how long their fetches take.
+// admit moves waiting requests into the batch in order of arrival while there are slots and memory, and returns the time
+// that copying their cached segments takes.
 func (e *engine) admit() (fetching time.Duration) {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Slots {
-		j := e.waiting[0]
-		kept := e.memory.kept(j.prompt)
-		if !e.memory.use(j.prompt) {
+		req := e.waiting[0]
+		cached := e.cache.cachedTokens(req.prompt)
+		if !e.cache.acquire(req.prompt) {
 			break
 		}
-		if j.fetch != nil {
-			if n := j.fetch.memory.kept(j.prompt) - kept; n > 0 {
-				e.moved += n
-				kept += n
+		if req.fetchFrom != nil {
+			if n := req.fetchFrom.cache.cachedTokens(req.prompt) - cached; n > 0 {
+				e.fetched += n
+				cached += n
 				fetching += e.cfg.FetchSetup + time.Duration(n)*e.cfg.FetchPerToken
 			}
 		}
-		j.unread = max(tokens(j.prompt)+j.made-kept, 1)
-		e.read += j.unread
+		req.prefillLeft = max(tokens(req.prompt)+req.generated-cached, 1)
+		e.prefilled += req.prefillLeft
 		e.waiting = e.waiting[1:]
-		e.running = append(e.running, j)
+		e.running = append(e.running, req)
 	}
 	return fetching
 }
 
-// step plays one step of the batch and then the next one.
+// step schedules the next step of the batch; the engine goes idle if it has no running request.
 func (e *engine) step() {
 	took := e.admit()
 	if len(e.running) == 0 {
@@ -112,45 +113,47 @@
 		return
 	}
 	chunk, context := e.cfg.ChunkTokens, 0
-	for _, j := range e.running {
-		context += tokens(j.prompt) + j.made
-		n := min(j.unread, chunk)
-		j.unread -= n
+	for _, req := range e.running {
+		context += tokens(req.prompt) + req.generated
+		n := min(req.prefillLeft, chunk)
+		req.prefillLeft -= n
 		chunk -= n
 	}
-	took += e.cfg.Step + time.Duration(len(e.running))*e.cfg.PerSlot
-	took += time.Duration(e.cfg.ChunkTokens-chunk)*e.cfg.ReadPerToken + time.Duration(context)*e.cfg.PerKiloToken/1000
-	e.clock.At(e.clock.now+took, e.stepped)
+	took += e.cfg.StepBase + time.Duration(len(e.running))*e.cfg.StepPerRequest
+	took += time.Duration(e.cfg.ChunkTokens-chunk)*e.cfg.PrefillPerToken + time.Duration(context)*e.cfg.StepPerKiloToken/1000
+	e.clock.At(e.clock.now+took, e.finishStep)
 }
 
-// stepped hands out the tokens of a step.
-func (e *engine) stepped() {
-	for _, j := range slices.Clone(e.running) {
-		if j.unread > 0 || j.cancelled {
+// finishStep adds one token to each request whose prompt is computed, ends those that are complete, and starts the next
+// step.
+func (e *engine) finishStep() {
+	for _, req := range slices.Clone(e.running) {
+		if req.prefillLeft > 0 || req.cancelled {
 			continue
 		}
-		if !e.memory.grow(j.prompt[len(j.prompt)-1].ID, 1) {
+		if !e.cache.grow(req.prompt[len(req.prompt)-1].ID, 1) {
 			e.preempt()
 			continue
 		}
-		j.made++
-		if j.made == 1 {
-			j.first()
+		req.generated++
+		if req.generated == 1 {
+			req.onFirstToken()
 		}
-		if j.made >= j.want {
-			e.running = slices.DeleteFunc(e.running, func(r *job) bool { return r == j })
-			e.memory.leave(j.prompt)
-			j.done()
+		if req.generated >= req.outputTokens {
+			e.running = slices.DeleteFunc(e.running, func(r *request) bool { return r == req })
+			e.cache.release(req.prompt)
+			req.onDone()
 		}
 	}
 	e.step()
 }
 
-// preempt puts the newest request back, which is read again from its start.
+// preempt puts the most recently admitted request back to the head of the queue, to free its memory. The engine computes
+// it again from the start, apart from what the cache still holds by then.
 func (e *engine) preempt() {
-	j := e.running[len(e.running)-1]
+	req := e.running[len(e.running)-1]
 	e.preempted++
 	e.running = e.running[:len(e.running)-1]
-	e.memory.leave(j.prompt)
-	e.waiting = append([]*job{j}, e.waiting...)
+	e.cache.release(req.prompt)
+	e.waiting = append([]*request{req}, e.waiting...)
 }
--- a/internal/proof/hgmodel/experiment.go
+++ b/internal/proof/hgmodel/experiment.go
@@ -12,14 +12,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Experiment is a set of policies that are played on the same loads with the same seeds.
+// Experiment compares policies on the same workloads with the same seeds.
 type Experiment struct {
 	Policies []func(*Run) Policy
 	Loads    []Workload
-	Seeds    int
+	// Seeds is the number of seeds, from 1 on.
+	Seeds int
 }
 
-// Play plays all combinations, as many at a time as there are processors, and returns the results by load and policy.
+// Play simulates all combinations, as many in parallel as there are processors, and returns the results ordered by
+// workload, policy and seed.
 func (e Experiment) Play() (results []Result) {
 	results = make([]Result, len(e.Loads)*len(e.Policies)*e.Seeds)
 	group := errgroup.Group{}
@@ -30,37 +32,40 @@
 			for seed := range e.Seeds {
 				at := i
 				group.Go(func() error {
-					results[at] = Play(load, policy, uint64(seed+1))
+					results[at] = Simulate(load, policy, uint64(seed+1))
 					return nil
 				})
 				i++
 			}
 		}
 	}
-	_ = group.Wait() // plays return no errors
+	_ = group.Wait() // the functions return no errors
 	return results
 }
 
-// Mean is a policy's mean over the seeds of a load.
+// Mean is the mean result of a policy over all seeds of a workload.
 type Mean struct {
-	Load, Policy string
-	// Rate is the multiple of the load's rate.
+	Workload, Policy string
+	// Rate is the multiple of the workload's arrival rate.
 	Rate float64
-	// Net is the share of the worth that is left after the charge for moved memory, and Spread its standard deviation.
-	Net, Worth, Spread float64
-	// ByKind is the share of each kind's worth, and Unserved the share of programs that got no answer in twice their aim.
+	// Worth is the share of the programs' total worth that was earned, Net the same minus the charge for fetched cache
+	// tokens, and StdDev the standard deviation of Net.
+	Net, Worth, StdDev float64
+	// ByKind is the earned share of the worth of each kind, and Unserved the share of programs that were not done within
+	// twice their latency objective.
 	ByKind   map[string]float64
 	Unserved float64
-	// Read and Moved are millions of tokens.
-	Read, Moved float64
-	Refused     float64
+	// Prefilled and Fetched are prompt tokens in millions.
+	Prefilled, Fetched float64
+	// Refused is the number of turns that the policy refused.
+	Refused float64
 }
 
-// Means joins the results of all seeds.
+// Means averages the results of each workload, rate and policy over the seeds.
 func Means(results []Result) (means []Mean) {
 	type key struct {
-		load, policy string
-		rate         float64
+		workload, policy string
+		rate             float64
 	}
 	keyOf := func(r Result, _ int) key { return key{r.Workload, r.Policy, r.Rate} }
 	for _, k := range lo.Uniq(lo.Map(results, keyOf)) {
@@ -71,12 +76,12 @@
 
 func mean(results []Result) Mean {
 	n := float64(len(results))
-	m := Mean{Load: results[0].Workload, Rate: results[0].Rate, Policy: results[0].Policy, ByKind: map[string]float64{}}
+	m := Mean{Workload: results[0].Workload, Rate: results[0].Rate, Policy: results[0].Policy, ByKind: map[string]float64{}}
 	for _, r := range results {
 		m.Net += (r.Worth - r.Charged) / n
 		m.Worth += r.Worth / n
-		m.Read += float64(r.Read) / 1e6 / n
-		m.Moved += float64(r.Moved) / 1e6 / n
+		m.Prefilled += float64(r.Prefilled) / 1e6 / n
+		m.Fetched += float64(r.Fetched) / 1e6 / n
 		m.Refused += float64(r.Refused) / n
 		programs, failed := 0, 0
 		for kind, s := range r.ByKind {
@@ -86,11 +91,11 @@
 		}
 		m.Unserved += float64(failed) / float64(programs) / n
 	}
-	m.Spread = spread(lo.Map(results, func(r Result, _ int) float64 { return r.Worth - r.Charged }))
+	m.StdDev = stdDev(lo.Map(results, func(r Result, _ int) float64 { return r.Worth - r.Charged }))
 	return m
 }
 
-// Write prints means as a table.
+// Write prints means as a table with one row per workload, rate and policy.
 func Write(w io.Writer, means []Mean) (err error) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer func() { err = t.Flush() }()
@@ -99,7 +104,7 @@
 		kinds := lo.MapToSlice(m.ByKind, func(kind string, v float64) string { return fmt.Sprintf("%s %.2f", kind, v) })
 		slices.Sort(kinds)
 		fmt.Fprintf(t, "%s\t%.2f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%s\t\n",
-			m.Load, m.Rate, m.Policy, m.Net, m.Spread, m.Worth, m.Unserved, m.Read, m.Moved, m.Refused, strings.Join(kinds, ", "))
+			m.Workload, m.Rate, m.Policy, m.Net, m.StdDev, m.Worth, m.Unserved, m.Prefilled, m.Fetched, m.Refused, strings.Join(kinds, ", "))
 	}
 	return nil
 }
--- a/internal/proof/hgmodel/memory.go
+++ b/internal/proof/hgmodel/memory.go
@@ -2,44 +2,46 @@
 
 import "container/list"
 
-// Part is a part of a prompt with the tokens it has.
-type Part struct {
+// Segment is a contiguous part of a prompt. Prompts with a common prefix share its segments by ID.
+type Segment struct {
 	ID     int
 	Tokens int
 }
 
-// tokens returns the length of a prompt.
-func tokens(prompt []Part) (n int) {
+// tokens returns the length of a prompt in tokens.
+func tokens(prompt []Segment) (n int) {
 	for _, p := range prompt {
 		n += p.Tokens
 	}
 	return n
 }
 
-// memory is what an engine keeps of prompts; the least recently used parts yield.
-type memory struct {
+// kvCache is an engine's cache of prompt segments. It evicts the least recently used segments that no request uses.
+type kvCache struct {
+	// size and used are in tokens.
 	size, used int
-	parts      map[int]*list.Element
-	// order holds the parts, the most recently used first.
-	order *list.List
+	segments   map[int]*list.Element
+	// lru holds the segments, the most recently used first.
+	lru *list.List
 }
 
-type keptPart struct {
-	id, tokens, users int
+// cachedSegment is a segment in the cache; refs counts the running requests that use it.
+type cachedSegment struct {
+	id, tokens, refs int
 }
 
-func newMemory(size int) *memory {
-	return &memory{size: size, parts: map[int]*list.Element{}, order: list.New()}
+func newKVCache(size int) *kvCache {
+	return &kvCache{size: size, segments: map[int]*list.Element{}, lru: list.New()}
 }
 
-// kept returns how many tokens at the start of a prompt are kept.
-func (m *memory) kept(prompt []Part) (n int) {
+// cachedTokens returns the length of the longest cached prefix of a prompt.
+func (c *kvCache) cachedTokens(prompt []Segment) (n int) {
 	for _, p := range prompt {
-		e, ok := m.parts[p.ID]
+		e, ok := c.segments[p.ID]
 		if !ok {
 			return n
 		}
-		k := min(e.Value.(*keptPart).tokens, p.Tokens)
+		k := min(e.Value.(*cachedSegment).tokens, p.Tokens)
 		n += k
 		if k < p.Tokens {
 			return n
@@ -48,70 +50,70 @@
 	return n
 }
 
-// use makes room for a prompt and holds it until it is left; ok is false if what is in use leaves no room.
-func (m *memory) use(prompt []Part) (ok bool) {
+// acquire allocates memory for a prompt and protects it from eviction until release; ok is false if segments in use leave no room.
+func (c *kvCache) acquire(prompt []Segment) (ok bool) {
 	need := 0
 	for _, p := range prompt {
 		have := 0
-		if e, ok := m.parts[p.ID]; ok {
-			have = e.Value.(*keptPart).tokens
-			e.Value.(*keptPart).users++
+		if e, ok := c.segments[p.ID]; ok {
+			have = e.Value.(*cachedSegment).tokens
+			e.Value.(*cachedSegment).refs++
 		}
 		need += max(p.Tokens-have, 0)
 	}
-	if !m.free(need) {
+	if !c.evictFor(need) {
 		for _, p := range prompt {
-			if e, ok := m.parts[p.ID]; ok {
-				e.Value.(*keptPart).users--
+			if e, ok := c.segments[p.ID]; ok {
+				e.Value.(*cachedSegment).refs--
 			}
 		}
 		return false
 	}
 	for _, p := range prompt {
-		e, ok := m.parts[p.ID]
+		e, ok := c.segments[p.ID]
 		if !ok {
-			e = m.order.PushFront(&keptPart{id: p.ID, users: 1})
-			m.parts[p.ID] = e
+			e = c.lru.PushFront(&cachedSegment{id: p.ID, refs: 1})
+			c.segments[p.ID] = e
 		}
-		m.order.MoveToFront(e)
-		k := e.Value.(*keptPart)
-		m.used += max(p.Tokens-k.tokens, 0)
-		k.tokens = max(k.tokens, p.Tokens)
+		c.lru.MoveToFront(e)
+		s := e.Value.(*cachedSegment)
+		c.used += max(p.Tokens-s.tokens, 0)
+		s.tokens = max(s.tokens, p.Tokens)
 	}
 	return true
 }
 
-// grow lengthens a part that is in use.
-func (m *memory) grow(id, n int) (ok bool) {
-	e, found := m.parts[id]
-	if !found || !m.free(n) {
+// grow adds n tokens to a segment in use; ok is false if segments in use leave no room.
+func (c *kvCache) grow(id, n int) (ok bool) {
+	e, found := c.segments[id]
+	if !found || !c.evictFor(n) {
 		return false
 	}
-	e.Value.(*keptPart).tokens += n
-	m.used += n
+	e.Value.(*cachedSegment).tokens += n
+	c.used += n
 	return true
 }
 
-// leave ends the use of a prompt.
-func (m *memory) leave(prompt []Part) {
+// release ends a request's use of a prompt; its segments stay cached until they are evicted.
+func (c *kvCache) release(prompt []Segment) {
 	for _, p := range prompt {
-		if e, ok := m.parts[p.ID]; ok {
-			e.Value.(*keptPart).users--
-			m.order.MoveToFront(e)
+		if e, ok := c.segments[p.ID]; ok {
+			e.Value.(*cachedSegment).refs--
+			c.lru.MoveToFront(e)
 		}
 	}
 }
 
-// free drops parts that nobody uses until there is room for n tokens.
-func (m *memory) free(n int) bool {
-	for e := m.order.Back(); m.used+n > m.size && e != nil; {
-		k, before := e.Value.(*keptPart), e.Prev()
-		if k.users == 0 {
-			m.used -= k.tokens
-			m.order.Remove(e)
-			delete(m.parts, k.id)
+// evictFor evicts unused segments until there is room for n tokens, and reports whether there is.
+func (c *kvCache) evictFor(n int) bool {
+	for e := c.lru.Back(); c.used+n > c.size && e != nil; {
+		s, prev := e.Value.(*cachedSegment), e.Prev()
+		if s.refs == 0 {
+			c.used -= s.tokens
+			c.lru.Remove(e)
+			delete(c.segments, s.id)
 		}
-		e = before
+		e = prev
 	}
-	return m.used+n <= m.size
+	return c.used+n <= c.size
 }
--- a/internal/proof/hgmodel/model_test.go
+++ b/internal/proof/hgmodel/model_test.go
@@ -10,8 +10,8 @@
 	"hyssopgrade/internal/proof/hgmodel"
 )
 
-// Under a load that engines can carry if they are placed well, callers get much more by the placer than by each node's own
-// choice, and more than by the simple policies.
+// TestPlacerBeatsBaselines guards against placer changes that lose its advantage: at a load that the engines can carry
+// with good placement, the placer earns at least 0.1 more net worth than selection on each node and than the baselines.
 func TestPlacerBeatsBaselines(t *testing.T) {
 	names := []string{"roundRobin", "leastInFlight", "each", "eachFetching", "placer"}
 	e := hgmodel.Experiment{
@@ -39,12 +39,13 @@
 	return w
 }
 
-// The same seed gives all policies the same programs.
+// TestSameProgramsForAll guards against policies that influence the random draws of the workload: with the same seed all
+// policies must get the same numbers of programs, or their results can't be compared.
 func TestSameProgramsForAll(t *testing.T) {
 	w := shorter(hgmodel.Derwent(0.5))
 	var want map[string]int
 	for name, policy := range hgmodel.Policies {
-		got := lo.MapValues(hgmodel.Play(w, policy, 7).ByKind, func(s hgmodel.Share, _ string) int { return s.Programs })
+		got := lo.MapValues(hgmodel.Simulate(w, policy, 7).ByKind, func(s hgmodel.Share, _ string) int { return s.Programs })
 		if want == nil {
 			want = got
 		}
--- a/internal/proof/hgmodel/plot.go
+++ b/internal/proof/hgmodel/plot.go
@@ -14,7 +14,8 @@
 	plotHeight = 5 * vg.Inch
 )
 
-// Plot draws what is left of the worth after charges over the rate, a line a policy; the file's ending names its format.
+// Plot draws the worth after charges over the arrival rate, one line per policy. The extension of path selects the file
+// format.
 func Plot(path string, means []Mean) (err error) {
 	defer func() { err = trace.Wrap(err, "plot") }()
 	p := plot.New()
--- a/internal/proof/hgmodel/policy.go
+++ b/internal/proof/hgmodel/policy.go
@@ -11,36 +11,39 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Policies are the policies by name.
+// Policies maps the names that the experiment command accepts to constructors of policies.
 var Policies = map[string]func(*Run) Policy{
 	"roundRobin":    NewRoundRobin,
 	"leastInFlight": NewLeastInFlight,
-	"each":          NewEach,
-	"eachFetching":  NewEachFetching,
+	"each":          NewPerNode,
+	"eachFetching":  NewPerNodeFetching,
 	"placer":        NewPlacer(Placer()),
-	"placerStaying": NewPlacer(PlacerConfig{Name: "placer, no fetches", Window: hgplacer.Window, Rank: UnderWayFirst, Admit: Placer().Admit}),
+	"placerStaying": NewPlacer(PlacerConfig{Name: "placer, no fetches", Window: hgplacer.Window, Rank: InProgressFirst, Admit: Placer().Admit}),
 }
 
-// Policy places turns.
+// Policy decides which engine runs a turn, and when.
 type Policy interface {
-	// Place starts a turn now or later, or refuses it.
+	// Place starts a turn with Run.Start, now or later, or refuses it with Run.Refuse.
 	Place(t *Turn)
-	// First, Done and Refused tell of a turn's first token, its end, and that the engine did not take it.
-	First(t *Turn, engine int)
-	Done(t *Turn, engine int, whole bool)
+	// FirstToken reports that an engine generated the first token of a turn.
+	FirstToken(t *Turn, engine int)
+	// Done reports the end of a turn on an engine; completed is false if the turn was cancelled.
+	Done(t *Turn, engine int, completed bool)
+	// Refused reports that an engine's queue was full.
 	Refused(t *Turn, engine int)
-	// Leave tells that a turn's caller does not wait any more.
-	Leave(t *Turn)
+	// Cancel reports that the turn's caller has stopped waiting.
+	Cancel(t *Turn)
+	// String returns the policy's name in results.
 	String() string
 }
 
-// roundRobin gives each node's turns to one engine after the other.
+// roundRobin sends each node's turns to the engines in turn.
 type roundRobin struct {
 	r    *Run
 	next map[int]int
 }
 
-// NewRoundRobin returns the baseline that knows nothing of the engines.
+// NewRoundRobin returns the baseline that ignores the state of the engines.
 func NewRoundRobin(r *Run) Policy { return &roundRobin{r: r, next: map[int]int{}} }
 
 func (p *roundRobin) Place(t *Turn) {
@@ -51,95 +54,100 @@
 	p.next[t.Node] = at + 1
 	p.r.Start(t, at%len(p.r.engines), -1)
 }
-func (p *roundRobin) First(*Turn, int)      {}
+func (p *roundRobin) FirstToken(*Turn, int) {}
 func (p *roundRobin) Done(*Turn, int, bool) {}
 func (p *roundRobin) Refused(t *Turn, _ int) {
 	p.r.Refuse(t)
 }
-func (p *roundRobin) Leave(*Turn)    {}
+func (p *roundRobin) Cancel(*Turn)   {}
 func (p *roundRobin) String() string { return "round robin" }
 
-// each is the product's choice at each node for itself: nodes know their own requests, hear late of those of others,
-// and do not wait.
-type each struct {
-	r      *Run
-	sets   []*hgreplica.Set
-	leases map[*Turn]*hgreplica.Lease
-	tried  map[*Turn]int
-	// locality says that what engines keep counts, and fetches that they fetch it from each other.
-	locality, fetches bool
-	name              string
-	// far holds what nodes of other domains have told last.
-	told []map[string]int
+// perNode uses the production replica selection independently on each node: a node knows its own requests in flight,
+// learns of those of other nodes from heartbeats, and does not queue turns.
+type perNode struct {
+	r        *Run
+	sets     []*hgreplica.Set
+	leases   map[*Turn]*hgreplica.Lease
+	attempts map[*Turn]int
+	// locality takes the engines' cached tokens into account; fetch lets engines copy them from each other.
+	locality, fetch bool
+	name            string
+	// reported holds the requests in flight that each node last reported to other failure domains.
+	reported []map[string]int
 }
 
 const (
-	// nearPeriod and farPeriods are the heartbeats of 62 nodes: a period within a failure domain, three to others.
-	nearPeriod = 512 * time.Millisecond
-	farPeriods = 3
-	// modelFar is what another failure domain costs a turn, as in the product.
-	modelFar = 25 * time.Millisecond
-	// mostTries is the number of engines that one request is offered to.
-	mostTries = 4
+	// Nodes send a heartbeat within their failure domain every heartbeatPeriod, and to other failure domains every
+	// remoteHeartbeatEvery of these periods. These are the values for a site of 62 nodes.
+	heartbeatPeriod      = 512 * time.Millisecond
+	remoteHeartbeatEvery = 3
+	// remoteDomainCost is what an engine in another failure domain costs a turn, as in production.
+	remoteDomainCost = 25 * time.Millisecond
+	// maxEngineAttempts is the number of engines that a turn is sent to before it is refused.
+	maxEngineAttempts = 4
 )
 
-// NewEach returns the choice of each node for itself.
-func NewEach(r *Run) Policy { return newEach(r, true, "each node") }
+// NewPerNode returns a policy in which each node selects engines by load and cached tokens.
+func NewPerNode(r *Run) Policy { return newPerNode(r, true, "each node") }
 
-// NewEachFetching is the same with kept parts fetched between engines.
-func NewEachFetching(r *Run) Policy {
-	p := newEach(r, true, "each node, fetching")
-	p.fetches = true
+// NewPerNodeFetching returns the policy of NewPerNode with engines that copy cached segments from each other.
+func NewPerNodeFetching(r *Run) Policy {
+	p := newPerNode(r, true, "each node, fetching")
+	p.fetch = true
 	return p
 }
 
-// NewLeastInFlight returns the baseline that knows of loads only.
-func NewLeastInFlight(r *Run) Policy { return newEach(r, false, "least in flight") }
+// NewLeastInFlight returns the baseline that selects engines by load only.
+func NewLeastInFlight(r *Run) Policy { return newPerNode(r, false, "least in flight") }
 
-func newEach(r *Run, locality bool, name string) *each {
-	p := &each{r: r, leases: map[*Turn]*hgreplica.Lease{}, tried: map[*Turn]int{}, locality: locality, name: name}
-	for n := range r.load.Nodes {
-		p.sets = append(p.sets, newSet(r, n%r.load.Domains))
+func newPerNode(r *Run, locality bool, name string) *perNode {
+	p := &perNode{r: r, leases: map[*Turn]*hgreplica.Lease{}, attempts: map[*Turn]int{}, locality: locality, name: name}
+	for n := range r.workload.Nodes {
+		p.sets = append(p.sets, newSet(r, n%r.workload.Domains))
 	}
-	p.told = make([]map[string]int, len(p.sets))
+	p.reported = make([]map[string]int, len(p.sets))
 	round := 0
-	r.clock.Every(nearPeriod, func(time.Duration) {
-		p.gossip(round%farPeriods == 0)
+	r.clock.Every(heartbeatPeriod, func(time.Duration) {
+		p.gossip(round%remoteHeartbeatEvery == 0)
 		round++
 	})
 	return p
 }
 
+// newSet returns the production replica set of a node in a failure domain, with all engines of the run.
 func newSet(r *Run, domain int) *hgreplica.Set {
 	client := &http.Client{}
 	s := hgreplica.NewSet(r.clock, domainName(domain), func(time.Duration) *http.Client { return client })
 	entries := map[string]hgreplica.Entry{}
 	for e := range r.engines {
 		id := strconv.Itoa(e)
-		entries[id] = hgreplica.Entry{ID: id, Service: service, Address: id, Domain: domainName(e % r.load.Domains), Slots: r.load.Engine.Slots}
+		entries[id] = hgreplica.Entry{ID: id, Service: service, Address: id, Domain: domainName(e % r.workload.Domains), Slots: r.workload.Engine.Slots}
 	}
 	s.Apply(entries, 0)
 	return s
 }
 
+// service is the one service that all engines belong to.
 const service = "engines"
 
 func domainName(d int) string { return "domain-" + strconv.Itoa(d) }
 
-func (p *each) gossip(far bool) {
+// gossip sets on each node the sum of the other nodes' requests in flight: the current ones for nodes of the same failure
+// domain, for others those last reported. With includeRemote it refreshes the reported ones first.
+func (p *perNode) gossip(includeRemote bool) {
 	own := make([]map[string]int, len(p.sets))
 	for n, s := range p.sets {
 		own[n] = s.InFlight()
-		if far || p.told[n] == nil {
-			p.told[n] = own[n]
+		if includeRemote || p.reported[n] == nil {
+			p.reported[n] = own[n]
 		}
 	}
 	for n, s := range p.sets {
 		sum := map[string]int{}
 		for m := range p.sets {
 			from := own[m]
-			if m%p.r.load.Domains != n%p.r.load.Domains {
-				from = p.told[m]
+			if m%p.r.workload.Domains != n%p.r.workload.Domains {
+				from = p.reported[m]
 			}
 			if m != n {
 				for id, k := range from {
@@ -151,72 +159,73 @@
 	}
 }
 
-// want describes a turn to the product's choice.
-func want(t *Turn, locality bool) hgreplica.Want {
-	w := hgreplica.Want{Service: service, Exclude: map[string]bool{}, Prompt: tokens(t.Prompt), Far: modelFar, Kept: map[string]int{}}
+// newWant returns a turn as a request to the production replica selection; without locality it leaves out the prompt and
+// the cached tokens.
+func newWant(t *Turn, locality bool) hgreplica.Want {
+	w := hgreplica.Want{Service: service, Exclude: map[string]bool{}, Prompt: tokens(t.Prompt), Far: remoteDomainCost, Kept: map[string]int{}}
 	if !locality {
 		w.Prompt = 0
 		return w
 	}
-	for e, n := range t.Program.keptOn(t.Prompt) {
+	for e, n := range t.Program.cachedOn(t.Prompt) {
 		w.Kept[strconv.Itoa(e)] = n
 	}
 	return w
 }
 
-func (p *each) Place(t *Turn) {
+func (p *perNode) Place(t *Turn) {
 	s := p.sets[t.Node]
 	if t.First && !t.Program.served && hgplacer.IsFull(s.Load(service), t.priority()) {
 		p.r.Refuse(t)
 		return
 	}
-	p.try(t)
+	p.attempt(t)
 }
 
-func (p *each) try(t *Turn) {
-	p.tried[t]++
-	w := want(t, p.locality)
-	if p.fetches {
-		w.Fetch = hgreplica.Fetch{Setup: p.r.load.Engine.FetchSetup, PerToken: p.r.load.Engine.FetchPerToken, Charge: productCharge}
+func (p *perNode) attempt(t *Turn) {
+	p.attempts[t]++
+	w := newWant(t, p.locality)
+	if p.fetch {
+		w.Fetch = hgreplica.Fetch{Setup: p.r.workload.Engine.FetchSetup, PerToken: p.r.workload.Engine.FetchPerToken, Charge: fetchChargePerToken}
 	}
 	l, ok := p.sets[t.Node].Pick(w)
-	if !ok || p.tried[t] > mostTries {
-		delete(p.tried, t)
+	if !ok || p.attempts[t] > maxEngineAttempts {
+		delete(p.attempts, t)
 		p.r.Refuse(t)
 		return
 	}
 	p.leases[t] = l
-	p.r.Start(t, number(l.ID), number(l.FetchFrom))
+	p.r.Start(t, engineIndex(l.ID), engineIndex(l.FetchFrom))
 }
 
-func (p *each) First(t *Turn, at int) {
+func (p *perNode) FirstToken(t *Turn, at int) {
 	e := p.r.engines[at]
 	p.leases[t].Answered(hgattempt.Answer{HasLoad: true, Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots}, 0)
 }
 
-func (p *each) Done(t *Turn, _ int, _ bool) {
+func (p *perNode) Done(t *Turn, _ int, _ bool) {
 	p.leases[t].Release()
 	delete(p.leases, t)
-	delete(p.tried, t)
+	delete(p.attempts, t)
 }
 
-func (p *each) Refused(t *Turn, at int) {
+func (p *perNode) Refused(t *Turn, at int) {
 	e := p.r.engines[at]
 	p.leases[t].Answered(hgattempt.Answer{NotRun: true, HasLoad: true, Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots}, 0)
 	p.leases[t].Release()
-	p.try(t)
+	p.attempt(t)
 }
 
-func (p *each) Leave(t *Turn)  { delete(p.tried, t) }
-func (p *each) String() string { return p.name }
+func (p *perNode) Cancel(t *Turn) { delete(p.attempts, t) }
+func (p *perNode) String() string { return p.name }
 
-// jitter spreads a time around its mean.
+// jitter returns a uniformly distributed duration between 0.5 and 1.5 times the mean.
 func jitter(r *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + r.Float64()))
 }
 
-// number returns the engine of an identifier, which is its address as well; -1 for none.
-func number(id string) int {
+// engineIndex returns the index of the engine with a replica's identifier, or -1 if the identifier is empty.
+func engineIndex(id string) int {
 	n, err := strconv.Atoi(id)
 	if err != nil {
 		return -1
--- a/internal/proof/hgmodel/program.go
+++ b/internal/proof/hgmodel/program.go
@@ -2,178 +2,181 @@
 
 import "time"
 
-// Turn is a turn that is to be placed.
+// Turn is one attempt to run a turn of a program; a retry is a new Turn.
 type Turn struct {
 	Program *Program
-	Prompt  []Part
+	Prompt  []Segment
 	Output  int
-	// Node is the node at which it enters, and Domain its failure domain.
+	// Node is the node that receives the turn from its caller, and Domain the failure domain of the node.
 	Node, Domain int
-	// First says that the program has had no turn yet.
+	// First marks the first turn of a program.
 	First bool
-	// given is set once the caller no longer waits.
-	given bool
-	job   *job
-	at    *engine
-	ended func(ok bool)
+	// settled is set once the turn has succeeded, was refused or was abandoned by its caller.
+	settled bool
+	request *request
+	engine  *engine
+	// onEnd is called once with the outcome of the attempt.
+	onEnd func(ok bool)
 }
 
-// Program is a program under way.
+// Program is a program in progress.
 type Program struct {
-	Kind    *Kind
-	Began   time.Duration
-	Aim     time.Duration
-	Domain  int
-	idle    time.Duration
-	served  bool
-	started bool
-	// kept is what the engines are known to keep, by part and engine.
-	kept map[int]map[int]int
-	// end is when the last turn ended; failed says that a turn was given up.
+	Kind      *Kind
+	Began     time.Duration
+	Objective time.Duration
+	Domain    int
+	idleTime  time.Duration
+	served    bool
+	started   bool
+	// cached is the number of tokens that engines are known to cache, by segment and engine.
+	cached map[int]map[int]int
+	// end is when the last turn ended; failed is set when a turn has used up its attempts.
 	end    time.Duration
 	failed bool
 }
 
-// Left returns the time until the program's aim.
-func (p *Program) Left(now time.Duration) time.Duration { return p.Began + p.Aim - now }
+// Remaining returns the time until the program exceeds its latency objective, negative once it has.
+func (p *Program) Remaining(now time.Duration) time.Duration { return p.Began + p.Objective - now }
 
-// keptOn returns how many tokens of a prompt each engine is known to keep.
-func (p *Program) keptOn(prompt []Part) map[int]int {
-	sum := map[int]int{}
+// cachedOn returns how many tokens of a prompt's prefix each engine is known to cache.
+func (p *Program) cachedOn(prompt []Segment) map[int]int {
+	cached := map[int]int{}
 	before := 0
-	for _, part := range prompt {
-		for e, n := range p.kept[part.ID] {
-			if sum[e] >= before {
-				sum[e] += min(n, part.Tokens)
+	for _, segment := range prompt {
+		for e, n := range p.cached[segment.ID] {
+			if cached[e] >= before {
+				cached[e] += min(n, segment.Tokens)
 			}
 		}
-		before += part.Tokens
+		before += segment.Tokens
 	}
-	return sum
+	return cached
 }
 
-// note remembers that an engine has read a prompt and made tokens.
-func (p *Program) note(e int, prompt []Part, made int) {
-	for i, part := range prompt {
-		n := part.Tokens
+// recordCached records that an engine caches a prompt and the tokens generated after it.
+func (p *Program) recordCached(e int, prompt []Segment, generated int) {
+	for i, segment := range prompt {
+		n := segment.Tokens
 		if i == len(prompt)-1 {
-			n += made
+			n += generated
 		}
-		if p.kept[part.ID] == nil {
-			p.kept[part.ID] = map[int]int{}
+		if p.cached[segment.ID] == nil {
+			p.cached[segment.ID] = map[int]int{}
 		}
-		p.kept[part.ID][e] = max(p.kept[part.ID][e], n)
+		p.cached[segment.ID][e] = max(p.cached[segment.ID][e], n)
 	}
 }
 
 const (
-	// giveUp is the time without a token after which a caller leaves a turn.
-	giveUp = 2 * time.Second
-	// tries is the number of times that a turn is asked for before its program fails.
-	tries = 6
+	// firstTokenTimeout is the time without a first token after which a caller abandons an attempt.
+	firstTokenTimeout = 2 * time.Second
+	// maxTurnAttempts is the number of attempts for a turn before its program fails.
+	maxTurnAttempts = 6
 )
 
-// play runs a line of turns from one of them on, and calls done at its end.
-func (r *Run) play(p *Program, l *line, i int, history []Part, done func()) {
-	session := r.newPart()
-	r.turn(p, l, i, append(append([]Part(nil), history...), Part{ID: session}), done)
+// runChain runs a chain of turns from turn i on, after the prompt segments in history, and calls done at its end.
+func (r *Run) runChain(p *Program, c *chain, i int, history []Segment, done func()) {
+	session := r.newSegment()
+	r.runTurn(p, c, i, append(append([]Segment(nil), history...), Segment{ID: session}), done)
 }
 
-func (r *Run) turn(p *Program, l *line, i int, prompt []Part, done func()) {
+// runTurn runs turn i of a chain. The next turn starts once the pause is over and the sub-agents of turn i have ended.
+func (r *Run) runTurn(p *Program, c *chain, i int, prompt []Segment, done func()) {
 	last := len(prompt) - 1
-	prompt = append([]Part(nil), prompt...)
-	prompt[last].Tokens += l.input[i]
+	prompt = append([]Segment(nil), prompt...)
+	prompt[last].Tokens += c.input[i]
 	first := !p.started
 	p.started = true
-	r.ask(&Turn{Program: p, Prompt: prompt, Output: l.output[i], First: first}, tries, func() {
-		prompt := append([]Part(nil), prompt...)
-		prompt[last].Tokens += l.output[i]
-		if i == len(l.input)-1 {
+	r.requestTurn(&Turn{Program: p, Prompt: prompt, Output: c.output[i], First: first}, maxTurnAttempts, func() {
+		prompt := append([]Segment(nil), prompt...)
+		prompt[last].Tokens += c.output[i]
+		if i == len(c.input)-1 {
 			done()
 			return
 		}
-		left := 1 + len(l.subs[i])
+		pending := 1 + len(c.subAgents[i])
 		next := func() {
-			if left--; left == 0 {
-				r.turn(p, l, i+1, prompt, done)
+			if pending--; pending == 0 {
+				r.runTurn(p, c, i+1, prompt, done)
 			}
 		}
-		r.clock.At(r.clock.now+l.pause[i], next)
-		for _, s := range l.subs[i] {
-			r.play(p, s, 0, prompt, next)
+		r.clock.At(r.clock.now+c.pause[i], next)
+		for _, s := range c.subAgents[i] {
+			r.runChain(p, s, 0, prompt, next)
 		}
 	})
 }
 
-// ask tries a turn until it has ended or its program fails.
-func (r *Run) ask(t *Turn, left int, done func()) {
+// requestTurn sends a turn to a random node of the program's failure domain, and retries until it succeeds or no attempts
+// are left; then the program fails.
+func (r *Run) requestTurn(t *Turn, attemptsLeft int, done func()) {
 	if t.Program.failed {
 		return
 	}
 	t.Domain = t.Program.Domain
-	t.Node = r.node(t.Domain)
-	way := t.Program.Kind.openTime(r)
-	t.ended = func(ok bool) {
-		if t.given {
+	t.Node = r.randomNode(t.Domain)
+	delay := t.Program.Kind.openTime(r)
+	t.onEnd = func(ok bool) {
+		if t.settled {
 			return
 		}
-		t.given = true
+		t.settled = true
 		switch {
 		case ok:
 			t.Program.served = true
-			r.clock.At(r.clock.now+t.Program.Kind.keepTime(r), done)
-		case left <= 1:
+			r.clock.At(r.clock.now+t.Program.Kind.persistTime(r), done)
+		case attemptsLeft <= 1:
 			t.Program.failed = true
 		default:
-			again := *t
-			again.given, again.job, again.at = false, nil, nil
-			r.clock.At(r.clock.now+r.comeBack(left), func() { r.ask(&again, left-1, done) })
+			retry := *t
+			retry.settled, retry.request, retry.engine = false, nil, nil
+			r.clock.At(r.clock.now+r.retryDelay(attemptsLeft), func() { r.requestTurn(&retry, attemptsLeft-1, done) })
 		}
 	}
-	r.clock.At(r.clock.now+way, func() { r.place(t) })
+	r.clock.At(r.clock.now+delay, func() { r.place(t) })
 }
 
-// place hands a turn to the policy, and takes it back when its caller leaves.
+// place hands a turn to the policy, and cancels it if there is no token within firstTokenTimeout.
 func (r *Run) place(t *Turn) {
-	r.clock.At(r.clock.now+giveUp, func() {
-		if !t.given && (t.job == nil || t.job.made == 0) {
-			r.policy.Leave(t)
-			if t.job != nil {
-				t.at.cancel(t.job)
-				r.policy.Done(t, t.at.id, false)
+	r.clock.At(r.clock.now+firstTokenTimeout, func() {
+		if !t.settled && (t.request == nil || t.request.generated == 0) {
+			r.policy.Cancel(t)
+			if t.request != nil {
+				t.engine.cancel(t.request)
+				r.policy.Done(t, t.engine.id, false)
 			}
-			t.ended(false)
+			t.onEnd(false)
 		}
 	})
 	r.policy.Place(t)
 }
 
-// Start runs a turn on an engine; fetch is the engine to fetch kept parts from, or -1.
+// Start runs a turn on the engine at; fetch is the engine to copy cached segments from, or -1.
 func (r *Run) Start(t *Turn, at, fetch int) {
-	if t.given {
+	if t.settled {
 		r.policy.Done(t, at, false)
 		return
 	}
 	e := r.engines[at]
-	j := &job{prompt: t.Prompt, want: t.Output, first: func() { r.policy.First(t, at) }}
+	req := &request{prompt: t.Prompt, outputTokens: t.Output, onFirstToken: func() { r.policy.FirstToken(t, at) }}
 	if fetch >= 0 {
-		j.fetch = r.engines[fetch]
+		req.fetchFrom = r.engines[fetch]
 	}
-	j.done = func() {
-		t.Program.note(at, t.Prompt, t.Output)
+	req.onDone = func() {
+		t.Program.recordCached(at, t.Prompt, t.Output)
 		r.policy.Done(t, at, true)
-		t.ended(true)
+		t.onEnd(true)
 	}
-	j.refused = func() {
-		t.job = nil
+	req.onRefused = func() {
+		t.request = nil
 		r.policy.Refused(t, at)
 	}
-	t.job, t.at = j, e
-	e.submit(j)
+	t.request, t.engine = req, e
+	e.submit(req)
 }
 
-// Refuse gives a turn back to its caller.
+// Refuse refuses a turn to its caller, who retries later.
 func (r *Run) Refuse(t *Turn) {
 	r.refused++
-	t.ended(false)
+	t.onEnd(false)
 }
--- a/internal/proof/hgmodel/run.go
+++ b/internal/proof/hgmodel/run.go
@@ -8,144 +8,154 @@
 	"github.com/samber/lo"
 )
 
-// Run is one experiment: a workload under a policy with a seed.
+// Run is the state of one simulation: a workload under a policy with a seed.
 type Run struct {
-	load     Workload
+	workload Workload
 	clock    *Clock
 	rand     *rand.Rand
 	engines  []*engine
 	policy   Policy
 	programs []*Program
-	parts    int
+	segments int
 	refused  int
 }
 
-// Result is what callers got.
+// Result is the outcome of one simulation.
 type Result struct {
 	Policy, Workload string
 	Rate             float64
 	Seed             uint64
-	// Worth is the share of what the programs were worth that they earned, and ByKind that of each kind.
+	// Worth is the earned share of the programs' total worth, and ByKind the same for each kind of programs.
 	Worth  float64
 	ByKind map[string]Share
-	// Charged is what moved memory costs of it.
+	// Charged is the charge for fetched cache tokens, as a share of the same total.
 	Charged float64
-	// Read and Moved are the prompt tokens that engines read and that they fetched from each other.
-	Read, Moved int
-	// Refused counts turns given back by the system, and Shed those that engines refused.
+	// Prefilled and Fetched are the prompt tokens that engines computed, and that they copied from each other.
+	Prefilled, Fetched int
+	// Refused counts the turns that the policy refused to callers, Shed the requests that engines refused, and Preempted
+	// those that engines put back for lack of memory.
 	Refused, Shed, Preempted, Turns int
 }
 
-// Share counts the programs of a kind by their end.
+// Share counts the programs of a kind by outcome.
 type Share struct {
+	// InTime programs met their latency objective, Late ones took up to twice as long, and Failed ones took longer or never
+	// ended.
 	Programs, InTime, Late, Failed int
-	Worth                          float64
+	// Worth is the earned share of the kind's worth.
+	Worth float64
 }
 
-// Play runs a workload under a policy.
-func Play(w Workload, policy func(*Run) Policy, seed uint64) Result {
-	r := &Run{load: w, clock: &Clock{}, rand: rand.New(rand.NewPCG(seed, seed))}
+// Simulate runs a workload under a policy. The seed determines the arrivals and the programs.
+func Simulate(w Workload, policy func(*Run) Policy, seed uint64) Result {
+	r := &Run{workload: w, clock: &Clock{}, rand: rand.New(rand.NewPCG(seed, seed))}
 	for id := range w.Engines {
 		r.engines = append(r.engines, newEngine(id, w.Engine, r.clock))
 	}
 	r.policy = policy(r)
 	for i := range w.Kinds {
-		r.arrive(i, seed)
+		r.scheduleArrivals(i, seed)
 	}
-	r.clock.Run(w.Length + finishTime)
+	r.clock.Run(w.Length + drainTime)
 	return r.result(seed)
 }
 
-// finishTime is how long programs may go on after the last arrivals.
-const finishTime = 10 * time.Second
+// drainTime is the time that programs have to end after the last arrivals.
+const drainTime = 10 * time.Second
 
-// arrive lets programs of a kind begin until the end of the traffic. The programs follow from the seed alone, so that all
-// policies get the same ones.
-func (r *Run) arrive(kind int, seed uint64) {
-	k := &r.load.Kinds[kind]
-	draws := rand.New(rand.NewPCG(seed, uint64(kind)))
+// scheduleArrivals schedules the programs of a kind until the end of the arrivals. The programs depend on the seed alone,
+// so that all policies get the same ones.
+func (r *Run) scheduleArrivals(kind int, seed uint64) {
+	k := &r.workload.Kinds[kind]
+	rnd := rand.New(rand.NewPCG(seed, uint64(kind)))
 	at := time.Duration(0)
 	for {
-		at += time.Duration(draws.ExpFloat64() / r.load.rate(*k, at) * float64(time.Second))
-		if at > r.load.Length {
+		at += time.Duration(rnd.ExpFloat64() / r.workload.rate(*k, at) * float64(time.Second))
+		if at > r.workload.Length {
 			return
 		}
-		l, domain := k.draw(draws), draws.IntN(r.load.Domains)
-		r.clock.At(at, func() { r.begin(k, l, domain) })
+		c, domain := k.draw(rnd), rnd.IntN(r.workload.Domains)
+		r.clock.At(at, func() { r.startProgram(k, c, domain) })
 	}
 }
 
-func (r *Run) begin(k *Kind, l *line, domain int) {
-	idle := k.idle(r.load.Engine, l, k.Shared)
+func (r *Run) startProgram(k *Kind, c *chain, domain int) {
+	idleTime := k.idleTime(r.workload.Engine, c, k.Shared)
 	p := &Program{
-		Kind: k, Began: r.clock.now, Domain: domain, idle: idle, kept: map[int]map[int]int{},
-		Aim: time.Duration(float64(idle)*k.AimFactor) + k.AimPlus,
+		Kind: k, Began: r.clock.now, Domain: domain, idleTime: idleTime, cached: map[int]map[int]int{},
+		Objective: time.Duration(float64(idleTime)*k.ObjectiveFactor) + k.ObjectiveMargin,
 	}
 	r.programs = append(r.programs, p)
-	// Each kind has a shared part of its own; parts with negative numbers are shared.
-	shared := Part{ID: -1 - lo.IndexOf(lo.Map(r.load.Kinds, func(k Kind, _ int) string { return k.Name }), k.Name), Tokens: k.Shared}
-	r.play(p, l, 0, []Part{shared}, func() { p.end = r.clock.now })
+	// All programs of a kind share one segment, with a negative ID.
+	shared := Segment{ID: -1 - lo.IndexOf(lo.Map(r.workload.Kinds, func(k Kind, _ int) string { return k.Name }), k.Name), Tokens: k.Shared}
+	r.runChain(p, c, 0, []Segment{shared}, func() { p.end = r.clock.now })
 }
 
-func (r *Run) newPart() int {
-	r.parts++
-	return r.parts
+// newSegment returns the ID of a new segment for one chain of turns.
+func (r *Run) newSegment() int {
+	r.segments++
+	return r.segments
 }
 
-// node returns a random node of a failure domain.
-func (r *Run) node(domain int) int {
-	return domain + r.load.Domains*r.rand.IntN((r.load.Nodes-domain+r.load.Domains-1)/r.load.Domains)
+// randomNode returns a random node of a failure domain.
+func (r *Run) randomNode(domain int) int {
+	return domain + r.workload.Domains*r.rand.IntN((r.workload.Nodes-domain+r.workload.Domains-1)/r.workload.Domains)
 }
 
-// Times of the way, from runs on the users' bench: the opening of a turn at the VM that serves its program, and the
-// write of a kept turn. A turn's way to the VM and back takes 2 ms more.
+// Latencies outside the engines, taken from runs on the users' test bench.
 const (
+	// openMean is the mean time to open a turn at the VM that serves its program.
 	openMean = 5 * time.Millisecond
-	keepMean = 13 * time.Millisecond
-	backTime = 2 * time.Millisecond
+	// persistMean is the mean time to write a persisted turn to the store.
+	persistMean = 13 * time.Millisecond
+	// returnTime is the network time of a turn to the VM and back.
+	returnTime = 2 * time.Millisecond
 )
 
 func (k *Kind) openTime(r *Run) time.Duration { return jitter(r.rand, openMean) }
 
-func (k *Kind) keepTime(r *Run) time.Duration {
-	if !k.Kept {
-		return backTime
+func (k *Kind) persistTime(r *Run) time.Duration {
+	if !k.Persisted {
+		return returnTime
 	}
-	return backTime + jitter(r.rand, keepMean)
+	return returnTime + jitter(r.rand, persistMean)
 }
 
-// comeBack is the time after which a caller asks again: one retry soon, then the turn anew.
-func (r *Run) comeBack(left int) time.Duration {
-	if left%2 == 0 {
+// retryDelay returns the time until a caller's next attempt. Callers alternate between sending the turn anew, after 350 to
+// 1,050 ms, and a quick retry after 100 to 400 ms.
+func (r *Run) retryDelay(attemptsLeft int) time.Duration {
+	if attemptsLeft%2 == 0 {
 		return jitter(r.rand, 700*time.Millisecond)
 	}
 	return 100*time.Millisecond + time.Duration(r.rand.Int64N(int64(300*time.Millisecond)))
 }
 
-// movedWorth is the worth that a moved token is charged: 0.4 a GB for 163,840 bytes.
-const movedWorth = 0.4 * 163840 / 1e9
+// chargePerFetchedToken is the worth that a fetched token is charged: 0.4 per GB, at 163,840 bytes per token.
+const chargePerFetchedToken = 0.4 * 163840 / 1e9
 
+// result sums up the run. A program is weighted by its time on idle engines: 0.3 plus 0.7 times its ratio to the mean of
+// its kind, at most 4. In time it earns its kind's Worth, within twice the objective its LateWorth, later nothing.
 func (r *Run) result(seed uint64) Result {
-	res := Result{Policy: r.policy.String(), Workload: r.load.Name, Rate: r.load.Rate, Seed: seed, Refused: r.refused, ByKind: map[string]Share{}}
+	res := Result{Policy: r.policy.String(), Workload: r.workload.Name, Rate: r.workload.Rate, Seed: seed, Refused: r.refused, ByKind: map[string]Share{}}
 	for _, e := range r.engines {
-		res.Read += e.read
-		res.Moved += e.moved
+		res.Prefilled += e.prefilled
+		res.Fetched += e.fetched
 		res.Shed += e.refusals
 		res.Preempted += e.preempted
 	}
 	earned, owed := 0.0, 0.0
 	for name, programs := range lo.GroupBy(r.programs, func(p *Program) string { return p.Kind.Name }) {
-		mean := lo.SumBy(programs, func(p *Program) float64 { return p.idle.Seconds() }) / float64(len(programs))
+		mean := lo.SumBy(programs, func(p *Program) float64 { return p.idleTime.Seconds() }) / float64(len(programs))
 		var s Share
 		kindEarned, kindOwed := 0.0, 0.0
 		for _, p := range programs {
-			size := math.Min(0.3+0.7*p.idle.Seconds()/mean, 4)
+			size := math.Min(0.3+0.7*p.idleTime.Seconds()/mean, 4)
 			s.Programs++
 			kindOwed += size * p.Kind.Worth
 			switch took := p.end - p.Began; {
-			case p.end == 0 || p.failed || took > 2*p.Aim:
+			case p.end == 0 || p.failed || took > 2*p.Objective:
 				s.Failed++
-			case took > p.Aim:
+			case took > p.Objective:
 				s.Late++
 				kindEarned += size * p.Kind.LateWorth
 			default:
@@ -158,12 +168,12 @@
 		earned, owed = earned+kindEarned, owed+kindOwed
 	}
 	res.Worth = earned / owed
-	res.Charged = float64(res.Moved) * movedWorth / owed
+	res.Charged = float64(res.Fetched) * chargePerFetchedToken / owed
 	return res
 }
 
-// spread returns the standard deviation of some values.
-func spread(values []float64) float64 {
+// stdDev returns the population standard deviation of values.
+func stdDev(values []float64) float64 {
 	mean := lo.Mean(values)
 	return math.Sqrt(lo.Mean(lo.Map(values, func(v float64, _ int) float64 { return (v - mean) * (v - mean) })))
 }
