--- a/internal/proof/hgreplay/check.go
+++ b/internal/proof/hgreplay/check.go
@@ -10,25 +10,27 @@
 	"hyssopgrade/internal/proof/hgstandin"
 )
 
-// CheckRecords checks the endpoints' records against the callers' outcomes.
+// CheckRecords compares the endpoints' execution records with the outcomes that the callers saw, and adds a violation for
+// each contradiction. It ignores executions of requests that this replay did not send.
 func (r *Report) CheckRecords(records []hgstandin.Execution) {
 	known := lo.Filter(records, func(x hgstandin.Execution, _ int) bool { return r.calls[x.Request].Request != "" })
 	runs := lo.GroupBy(known, func(x hgstandin.Execution) string { return x.Request })
-	for id, xs := range runs {
-		r.checkRuns(id, len(xs))
+	for id, executions := range runs {
+		r.checkRunCount(id, len(executions))
 	}
 	for id := range r.answered {
 		if len(runs[id]) == 0 {
 			r.violation("request %q was answered and is in no record", id)
 		}
 	}
-	for _, xs := range lo.GroupBy(known, func(x hgstandin.Execution) string { return x.Program }) {
-		r.checkOrder(xs)
+	for _, executions := range lo.GroupBy(known, func(x hgstandin.Execution) string { return x.Program }) {
+		r.checkOrder(executions)
 	}
 }
 
-// Undetermined returns the requests that ended with an unknown outcome although they may not run again and no endpoint
-// that tells outcomes has run them: their owner went between intent and dispatch. It ignores those that an endpoint has run.
+// Undetermined returns the requests that ended with an unknown outcome although no endpoint that reports outcomes has run
+// them, and that may not run again. This happens if the owner stops between recording the intent to dispatch and the
+// dispatch. Requests in any endpoint's record are left out.
 func (r *Report) Undetermined(records []hgstandin.Execution) []string {
 	ran := lo.SliceToMap(records, func(x hgstandin.Execution) (string, bool) { return x.Request, true })
 	return lo.Filter(lo.Keys(r.unknown), func(id string, _ int) bool {
@@ -36,8 +38,9 @@
 	})
 }
 
-// checkRuns checks how often a request ran.
-func (r *Report) checkRuns(id string, n int) {
+// checkRunCount checks that a request refused as not run did not run, and that a tool call that is not idempotent ran at
+// most once.
+func (r *Report) checkRunCount(id string, n int) {
 	c := r.calls[id]
 	if r.notRun[id] {
 		r.violation("request %q was refused as not run and ran %d times", id, n)
@@ -47,11 +50,11 @@
 	}
 }
 
-// checkOrder checks that no call of a program started after a later one.
-func (r *Report) checkOrder(xs []hgstandin.Execution) {
-	slices.SortFunc(xs, func(a, b hgstandin.Execution) int { return int(a.StartUs - b.StartUs) })
-	for i := 1; i < len(xs); i++ {
-		before, after := r.calls[xs[i-1].Request], r.calls[xs[i].Request]
+// checkOrder checks that the calls of a program started in the order of their sequence numbers.
+func (r *Report) checkOrder(executions []hgstandin.Execution) {
+	slices.SortFunc(executions, func(a, b hgstandin.Execution) int { return int(a.StartUs - b.StartUs) })
+	for i := 1; i < len(executions); i++ {
+		before, after := r.calls[executions[i-1].Request], r.calls[executions[i].Request]
 		if after.Seq < before.Seq {
 			r.violation("program %q: call %d started after call %d", after.Program, after.Seq, before.Seq)
 		}
--- a/internal/proof/hgreplay/replay.go
+++ b/internal/proof/hgreplay/replay.go
@@ -13,29 +13,29 @@
 	"hyssopgrade/internal/serve/hgcaller"
 )
 
-// Caller sends calls; *hgcaller.Client is one.
+// Caller sends calls to the system under test; *hgcaller.Client implements it.
 type Caller interface {
-	// Call sends a call until it has a final answer.
+	// Call sends a call, with retries, until it has a final answer.
 	Call(ctx context.Context, c hgcall.Call) (a hgcaller.Answer, err error)
-	// End ends a program.
+	// End ends a program; the replay calls it for root programs only.
 	End(ctx context.Context, program string) (err error)
 }
 
-// Options set up a replay.
+// Options configure a replay.
 type Options struct {
 	// Speed divides the pauses of the trace.
 	Speed float64
-	// Deadline bounds each call.
+	// Deadline is the time limit of each call.
 	Deadline time.Duration
-	// Patience bounds the time in which a refused call comes back.
+	// Patience is the time within which a refused call is retried.
 	Patience time.Duration
-	// Progress is told the numbers of ended programs and of all.
+	// Progress is called after each program with the number of programs that have ended and of all programs.
 	Progress func(done, all int)
 	// Prefix is put before each program's identifier, so that a trace can be replayed more than once.
 	Prefix string
 }
 
-// Replay replays traces.
+// Replay replays the programs of a trace and collects their outcomes; it is used for one run.
 type Replay struct {
 	caller Caller
 	opts   Options
@@ -43,37 +43,39 @@
 
 	mu     sync.Mutex
 	report Report
-	left   map[string]int
+	// pending is the number of programs that have not ended, by root program, itself included.
+	pending map[string]int
 }
 
-// NewReplay returns a replay.
+// NewReplay returns a replay that sends its calls through c.
 func NewReplay(c Caller, opts Options) *Replay {
-	return &Replay{caller: c, opts: opts, report: newReport(), left: map[string]int{}}
+	return &Replay{caller: c, opts: opts, report: newReport(), pending: map[string]int{}}
 }
 
-// Run replays the programs and returns the report.
+// Run replays the programs concurrently and returns the report once all have ended. Report.CheckRecords adds the check
+// against the endpoints' records.
 func (p *Replay) Run(ctx context.Context, programs []Program) *Report {
 	p.start = time.Now()
 	for _, pr := range programs {
-		p.left[hgcall.Root(pr.ID)]++
+		p.pending[hgcall.Root(pr.ID)]++
 	}
 	var wg sync.WaitGroup
 	for _, pr := range programs {
 		wg.Go(func() {
-			ok := p.program(ctx, pr)
-			p.ended(ctx, pr, ok, len(programs))
+			ok := p.runProgram(ctx, pr)
+			p.programEnded(ctx, pr, ok, len(programs))
 		})
 	}
 	wg.Wait()
 	return &p.report
 }
 
-// ended counts an ended program and ends the root program after its last part.
-func (p *Replay) ended(ctx context.Context, pr Program, ok bool, all int) {
+// programEnded counts a program, and ends its root program if that and all its sub-agents have ended.
+func (p *Replay) programEnded(ctx context.Context, pr Program, ok bool, all int) {
 	root := hgcall.Root(pr.ID)
 	p.mu.Lock()
-	p.left[root]--
-	last := p.left[root] == 0
+	p.pending[root]--
+	last := p.pending[root] == 0
 	if ok {
 		p.report.Done++
 	} else {
@@ -89,10 +91,10 @@
 	p.opts.Progress(n, all)
 }
 
-// program runs one program's calls in order; ok is false when one had no answer.
-func (p *Replay) program(ctx context.Context, pr Program) (ok bool) {
+// runProgram runs a program's calls in order, and stops with ok false at the first one without an answer.
+func (p *Replay) runProgram(ctx context.Context, pr Program) (ok bool) {
 	var history []hgcall.Message
-	var first time.Time
+	var start time.Time
 	for i, l := range pr.Calls {
 		wait := time.Duration(float64(l.AfterMs)/p.opts.Speed) * time.Millisecond
 		if i == 0 {
@@ -102,20 +104,21 @@
 			return false
 		}
 		if i == 0 {
-			first = time.Now()
+			start = time.Now()
 		}
-		if !p.call(ctx, l, &history) {
+		if !p.runCall(ctx, l, &history) {
 			return false
 		}
 	}
 	if _, sub := hgcall.Parent(pr.ID); !sub {
 		p.mu.Lock()
-		p.report.observe(time.Since(first))
+		p.report.observe(time.Since(start))
 		p.mu.Unlock()
 	}
 	return true
 }
 
+// sleep waits for d; it returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -125,18 +128,19 @@
 	}
 }
 
-// call sends one call until it is answered or given up; a request that was not run comes back under a new identifier.
-func (p *Replay) call(ctx context.Context, l Line, history *[]hgcall.Message) (ok bool) {
-	began := time.Now()
-	for try := 0; ; try++ {
-		c := p.build(l, try)
+// runCall sends a call until it is answered or can't be retried. A request that was refused as not run is retried under a
+// new identifier, after the delay in the refusal and within Patience.
+func (p *Replay) runCall(ctx context.Context, l Line, history *[]hgcall.Message) (ok bool) {
+	start := time.Now()
+	for attempt := 0; ; attempt++ {
+		c := p.buildCall(l, attempt)
 		a, err := p.caller.Call(ctx, c)
-		p.sent(c, a, err)
+		p.record(c, a, err)
 		if err == nil {
-			return p.check(c, a, history)
+			return p.checkAnswer(c, a, history)
 		}
 		var r *hgcall.Refusal
-		if !errors.As(err, &r) || r.Kind != hgcall.KindNotRun || r.RetryAfter == 0 || time.Since(began) > p.opts.Patience {
+		if !errors.As(err, &r) || r.Kind != hgcall.KindNotRun || r.RetryAfter == 0 || time.Since(start) > p.opts.Patience {
 			return false
 		}
 		if !sleep(ctx, r.RetryAfter) {
@@ -145,11 +149,11 @@
 	}
 }
 
-// build returns the call of a line.
-func (p *Replay) build(l Line, try int) hgcall.Call {
+// buildCall returns the call of a trace line. Each attempt has its own request identifier.
+func (p *Replay) buildCall(l Line, attempt int) hgcall.Call {
 	id := p.opts.Prefix + l.Program
 	c := hgcall.Call{
-		Program: id, Seq: l.Seq, Request: fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(id, "/", "."), l.Seq, try),
+		Program: id, Seq: l.Seq, Request: fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(id, "/", "."), l.Seq, attempt),
 		Kind: l.Kind, Target: l.Target, Idempotent: l.Idempotent, Budget: l.BudgetTokens, Deadline: p.opts.Deadline,
 	}
 	if l.Kind == hgcall.Tool {
@@ -165,14 +169,15 @@
 	return c
 }
 
-// bytesPerToken is the size of a token in a replayed message.
+// bytesPerToken is the assumed size of a token in a replayed message.
 const bytesPerToken = 4
 
-// minOutputTokens is the length of the digest with which a stand-in's answer begins.
+// minOutputTokens is the length of the digest at the start of a stand-in's answer; a shorter answer would cut it off.
 const minOutputTokens = 4
 
-// check compares a model's answer with the one that the whole conversation must give.
-func (p *Replay) check(c hgcall.Call, a hgcaller.Answer, history *[]hgcall.Message) (ok bool) {
+// checkAnswer checks that a tool's answer names its request, and that a model's answer is the one that the stand-in gives
+// for the whole history of the program. It appends the call to the history.
+func (p *Replay) checkAnswer(c hgcall.Call, a hgcaller.Answer, history *[]hgcall.Message) (ok bool) {
 	if c.Kind == hgcall.Tool {
 		if !strings.Contains(string(a.Body), c.Request) {
 			p.violation("answer of request %q is not its own: %.80s", c.Request, a.Body)
@@ -194,8 +199,8 @@
 	p.report.violation(format, args...)
 }
 
-// sent counts a call's end.
-func (p *Replay) sent(c hgcall.Call, a hgcaller.Answer, err error) {
+// record adds the outcome of a request to the report.
+func (p *Replay) record(c hgcall.Call, a hgcaller.Answer, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Calls++
--- a/internal/proof/hgreplay/report.go
+++ b/internal/proof/hgreplay/report.go
@@ -15,27 +15,29 @@
 
 // Report is the outcome of a replay.
 type Report struct {
-	// Done and Undone are the numbers of programs with and without a final answer.
+	// Done is the number of programs whose calls all had an answer, and Undone that of the others.
 	Done   int `json:"programsDone"`
 	Undone int `json:"programsUndone"`
-	// Calls is the number of requests; Asked is how often they were sent.
+	// Calls is the number of requests, and Asked how often they were sent, retries included.
 	Calls int `json:"calls"`
 	Asked int `json:"asked"`
-	// Refusals are counted by kind and reason.
-	Refusals   map[string]int `json:"refusals"`
-	Violations []string       `json:"violations"`
-	// Written and Unused are the prompt tokens put into prefix caches and those of them never reused.
+	// Refusals counts refusals by "kind/reason".
+	Refusals map[string]int `json:"refusals"`
+	// Violations describes each broken guarantee.
+	Violations []string `json:"violations"`
+	// Written is the number of prompt tokens written to prefix caches, and Unused the number of those never reused.
 	Written uint64 `json:"cacheTokensWritten"`
 	Unused  uint64 `json:"cacheTokensUnused"`
 
-	latency  *hdrhistogram.Histogram
+	latency *hdrhistogram.Histogram
+	// The maps are by request identifier. unknown holds the requests that were dispatched and whose outcome is unknown.
 	calls    map[string]hgcall.Call
 	notRun   map[string]bool
 	answered map[string]bool
 	unknown  map[string]bool
 }
 
-// maxLatency bounds the latencies that are told apart.
+// maxLatency is the largest latency that the histogram records.
 const maxLatency = 24 * time.Hour
 
 func newReport() Report {
@@ -47,7 +49,7 @@
 
 func (r *Report) observe(d time.Duration) { _ = r.latency.RecordValue(max(d.Milliseconds(), 1)) }
 
-// Latency describes the time of root programs from their first call to their last answer, in milliseconds.
+// Latency summarizes the times of root programs from the first call to the last answer, in milliseconds.
 type Latency struct {
 	MeanMs float64 `json:"meanMs"`
 	P50Ms  int64   `json:"p50Ms"`
@@ -55,25 +57,25 @@
 	P99Ms  int64   `json:"p99Ms"`
 }
 
-// Latency returns the program latency.
+// Latency returns the latencies of the root programs in which every call had an answer.
 func (r *Report) Latency() Latency {
 	return Latency{
 		MeanMs: r.latency.Mean(), P50Ms: r.latency.ValueAtQuantile(50), P95Ms: r.latency.ValueAtQuantile(95), P99Ms: r.latency.ValueAtQuantile(99),
 	}
 }
 
-// AddWaste adds the count of one endpoint.
+// AddWaste adds the cache tokens of one endpoint.
 func (r *Report) AddWaste(w hgstandin.Waste) {
 	r.Written += w.Written
 	r.Unused += w.Unused
 }
 
-// WastedShare returns the share of the written prefix tokens that were never reused.
+// WastedShare returns the share, from 0 to 1, of the written cache tokens that were never reused.
 func (r *Report) WastedShare() float64 {
 	return float64(r.Unused) / float64(max(r.Written, 1))
 }
 
-// Print writes the report as a table.
+// Print writes the report as a table, with the violations below it.
 func (r *Report) Print(w io.Writer) {
 	l := r.Latency()
 	fmt.Fprintf(w, "%-28s %d of %d\n", "programs done", r.Done, r.Done+r.Undone)
--- a/internal/proof/hgreplay/shipped.go
+++ b/internal/proof/hgreplay/shipped.go
@@ -8,12 +8,12 @@
 )
 
 //go:embed traces/*.jsonl
-var shipped embed.FS
+var traceFiles embed.FS
 
-// Shipped returns the programs of a trace that comes with the program: derwent or fjordbom.
+// Shipped returns the programs of a trace that is embedded in the binary: derwent or fjordbom.
 func Shipped(name string) (programs []Program, err error) {
 	defer func() { err = trace.Wrap(err, "shipped trace %q", name) }()
-	data, err := shipped.ReadFile("traces/" + name + ".jsonl")
+	data, err := traceFiles.ReadFile("traces/" + name + ".jsonl")
 	if err != nil {
 		return nil, trace.NotFound("want derwent or fjordbom")
 	}
--- a/internal/proof/hgreplay/trace.go
+++ b/internal/proof/hgreplay/trace.go
@@ -13,32 +13,33 @@
 	"hyssopgrade/hgcall"
 )
 
-// Line is one call of a trace.
+// Line is one line of a trace: one call of a program.
 type Line struct {
 	Program string `json:"program"`
 	Parent  string `json:"parent,omitempty"`
 	Seq     uint64 `json:"seq"`
-	// AfterMs is the pause after the previous answer, for a first call from the start, in milliseconds.
+	// AfterMs is the pause in milliseconds after the answer to the program's previous call, or for its first call after
+	// the start of the replay.
 	AfterMs int64       `json:"afterMs"`
 	Kind    hgcall.Kind `json:"kind"`
 	Target  string      `json:"target"`
-	// NewTokens and OutputTokens are the sizes of a model call.
+	// NewTokens is the number of new prompt tokens of a model call, and OutputTokens that of its generated tokens.
 	NewTokens    int  `json:"newTokens,omitempty"`
 	OutputTokens int  `json:"outputTokens,omitempty"`
 	Idempotent   bool `json:"idempotent,omitempty"`
-	// DurationMs is the time that a tool takes, in milliseconds.
+	// DurationMs is the execution time of a tool call in milliseconds.
 	DurationMs int64 `json:"durationMs,omitempty"`
-	// BudgetTokens is the budget, on the first call of a root program.
+	// BudgetTokens is the token budget of a root program, on its first call.
 	BudgetTokens uint64 `json:"budgetTokens,omitempty"`
 }
 
-// Program is the calls of one program, in order.
+// Program is a program of a trace with its calls in order.
 type Program struct {
 	ID    string
 	Calls []Line
 }
 
-// ReadFile reads a trace; a bad line is a BadParameter error that names the file and the line.
+// ReadFile reads a trace from a file. A bad line is a BadParameter error that names the file and the line.
 func ReadFile(path string) (programs []Program, err error) {
 	defer func() { err = trace.Wrap(err, "trace %s", path) }()
 	f, err := os.Open(path)
@@ -49,10 +50,10 @@
 	return Read(f)
 }
 
-// maxLineBytes bounds one line of a trace.
+// maxLineBytes is the largest length of a line.
 const maxLineBytes = 1 << 20
 
-// Read reads a trace from r.
+// Read reads a trace in JSON Lines from r and returns its programs, ordered by the time of their first call.
 func Read(r io.Reader) (programs []Program, err error) {
 	byID := map[string]*Program{}
 	var order []string
@@ -95,16 +96,16 @@
 	if _, err := d.Token(); err != io.EOF {
 		return l, trace.BadParameter("content after the call")
 	}
-	return l, l.check()
+	return l, l.validate()
 }
 
-// Bounds of a trace's values.
+// Upper limits of the numbers in a trace.
 const (
 	maxTraceTokens = 1 << 20
 	maxTraceMs     = 24 * 3600 * 1000
 )
 
-func (l Line) check() (err error) {
+func (l Line) validate() (err error) {
 	if err := hgcall.CheckProgram(l.Program); err != nil {
 		return err
 	}
@@ -128,6 +129,8 @@
 	return nil
 }
 
+// checkParents checks that the parent of each sub-agent is in the trace, and sorts the programs by the time of their first
+// call.
 func checkParents(programs []Program) (err error) {
 	known := map[string]bool{}
 	for _, p := range programs {
