--- a/internal/proof/hgbench/cell_slope_test.go
+++ b/internal/proof/hgbench/cell_slope_test.go
@@ -17,10 +17,10 @@
 	"hyssopgrade/internal/serve/hgendpoint"
 )
 
-// demoEngines is the number of engines of a cell where it does not matter.
-const demoEngines = 3
+// defaultEngines is the number of engines in measurements that do not depend on it.
+const defaultEngines = 3
 
-// newCell returns a ready cell.
+// newCell starts a cell and waits until it is ready.
 func newCell(t *testing.T, nodes, engines int) *hgcell.Cell {
 	t.Helper()
 	opts := hgcell.Demo(hglog.Discard())
@@ -35,7 +35,7 @@
 	return c
 }
 
-// pathSlope measures model calls to a cell of so many nodes, one after the other, against direct ones.
+// pathSlope compares sequential model calls through a cell of the given number of nodes with direct calls to an endpoint.
 func pathSlope(t *testing.T, nodes int) {
 	c := newCell(t, nodes, 1)
 	defer c.Close()
@@ -56,7 +56,7 @@
 			}
 		}
 		plain := time.Since(start)
-		start, used := time.Now(), cpu()
+		start, used := time.Now(), processorTime()
 		var commits time.Duration
 		for i := range n {
 			id := fmt.Sprintf("path-%d-%d", n, i)
@@ -73,40 +73,41 @@
 			}
 			commits += s.Time.Commit
 		}
-		through, spent := time.Since(start), cpu()-used
+		through, spent := time.Since(start), processorTime()-used
 		each := func(d time.Duration) float64 { return d.Seconds() * 1e3 / float64(n) }
 		t.Logf("%d, %.2f, %.2f, %.2f, %.0f", n, each(plain), each(through), each(commits), 1e3*each(spent))
 	}
 }
 
-// idleTime is how long an idle cell is watched.
-const idleTime = 6 * time.Second
+// idlePeriod is the length of a measurement of an idle cell.
+const idlePeriod = 6 * time.Second
 
-// settleTime is the time in which the shards of a new cell find their places.
+// settleTime is the time in which the shards of a new cell are assigned to nodes.
 const settleTime = 10 * time.Second
 
-// idleSlope measures what an idle cell of so many nodes, in one process, costs each node and the platform.
+// idleSlope measures the platform reads and commits, the processor time and the memory that an idle cell takes per node,
+// with all nodes in one process.
 func idleSlope(t *testing.T) {
 	t.Log("nodes, platform reads/s per node, commits/s per node, bytes/s read per node, % of a core per node, heap KB per node, stand-ins included")
 	for _, n := range []int{3, 6, 10} {
-		before := int64(heap())
-		c := newCell(t, n, demoEngines)
+		before := int64(heapBytes())
+		c := newCell(t, n, defaultEngines)
 		time.Sleep(settleTime)
-		was, start := c.Platform.Store.Usage(), cpu()
-		time.Sleep(idleTime)
-		used, is := cpu()-start, c.Platform.Store.Usage()
-		per := idleTime.Seconds() * float64(n)
+		was, start := c.Platform.Store.Usage(), processorTime()
+		time.Sleep(idlePeriod)
+		used, is := processorTime()-start, c.Platform.Store.Usage()
+		per := idlePeriod.Seconds() * float64(n)
 		t.Logf("%d, %.2f, %.2f, %.0f, %.2f, %d", n, float64(is.Reads-was.Reads)/per, float64(is.Commits-was.Commits)/per,
-			float64(is.ReadBytes-was.ReadBytes)/per, 100*used.Seconds()/per, (int64(heap())-before)/int64(n)/1024)
+			float64(is.ReadBytes-was.ReadBytes)/per, 100*used.Seconds()/per, (int64(heapBytes())-before)/int64(n)/1024)
 		c.Close()
 	}
 }
 
-// presetSlope measures the time from the acceptance of a preset by one node until all nodes of a cell apply it.
+// presetSlope measures the time from one node's acceptance of a preset until all nodes of the cell apply it.
 func presetSlope(t *testing.T) {
 	t.Log("nodes, changes, ms until in force everywhere p50, most")
 	for _, n := range []int{3, 6, 9} {
-		c := newCell(t, n, demoEngines)
+		c := newCell(t, n, defaultEngines)
 		h := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 		for i := range 12 {
 			v, err := c.Nodes[i%n].UsePreset(t.Context(), []string{"peak", "ordinary"}[i%2], "slope")
@@ -124,14 +125,15 @@
 	}
 }
 
-// handoverTime is how long calls are measured around a change of the members.
+// handoverTime is the length of a measurement of calls around a membership change.
 const handoverTime = 4 * time.Second
 
-// handoverSlope measures model calls while a node joins a cell, and while one is drained.
+// handoverSlope measures the latency of model calls while a node is drained and while one joins, compared with a stable
+// membership.
 func handoverSlope(t *testing.T) {
 	t.Log("nodes, event, calls, ms per call p50, p99, most, calls over 100 ms")
 	for _, n := range []int{3, 6, 9} {
-		c := newCell(t, n, demoEngines)
+		c := newCell(t, n, defaultEngines)
 		time.Sleep(settleTime)
 		timeCalls(t, c, n, "none", func() {})
 		timeCalls(t, c, n, "drain", func() {
@@ -152,7 +154,7 @@
 	}
 }
 
-// timeCalls sends calls of new programs while change happens and prints how long they took.
+// timeCalls sends calls of new programs for handoverTime, runs change after a quarter of it, and prints the latencies.
 func timeCalls(t *testing.T, c *hgcell.Cell, n int, event string, change func()) {
 	t.Helper()
 	client := hgcaller.NewClient(c.Addresses()...)
--- a/internal/proof/hgbench/engine.go
+++ b/internal/proof/hgbench/engine.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// EngineConfig is the speed and the size of an engine.
+// EngineConfig describes the speed and the capacity of an engine.
 type EngineConfig struct {
-	// StepBase and StepPerCall make up the time of a step that generates one token for each call in the batch.
+	// StepBase and StepPerCall are the fixed time of a step and the time per call for which it generates a token.
 	StepBase    time.Duration
 	StepPerCall time.Duration
 	// PrefillPerToken is the time to compute one prompt token.
 	PrefillPerToken time.Duration
-	// ChunkTokens bounds the prompt tokens computed in one step.
+	// ChunkTokens is the largest number of prompt tokens computed in one step.
 	ChunkTokens int
-	// MaxBatch bounds the calls in the batch.
+	// MaxBatch is the largest number of calls in the batch.
 	MaxBatch int
-	// MemoryTokens is the memory for prefixes, in use and idle.
+	// MemoryTokens is the size of the memory for running calls and idle prefixes.
 	MemoryTokens int
 }
 
-// errEngineDown reports that an engine died.
+// errEngineDown is the outcome of calls on an engine that is down.
 var errEngineDown = errors.New("engine is down")
 
-// outcome is how a call on an engine ended.
+// outcome is the result of a call on an engine. prefilled is the number of prompt tokens that were not in the cache.
 type outcome struct {
-	computed   int
+	prefilled  int
 	firstToken time.Duration
 	total      time.Duration
 	err        error
 }
 
-// sequence is one call in an engine.
+// sequence is one call on an engine. prompt, output, prefilled, prefillLeft and generated are in tokens.
 type sequence struct {
-	program  string
-	prompt   int
-	output   int
-	computed int
-	left     int
-	made     int
-	start    time.Time
-	first    time.Duration
-	done     chan outcome
+	program     string
+	prompt      int
+	output      int
+	prefilled   int
+	prefillLeft int
+	generated   int
+	start       time.Time
+	firstToken  time.Duration
+	done        chan outcome
 }
 
-// prefix is an idle program's memory; fresh are the tokens not yet reused.
+// prefix is the cached conversation of a program without a running call; unused is the number of its tokens that no call
+// has reused yet.
 type prefix struct {
 	program string
 	tokens  int
-	fresh   int
+	unused  int
 }
 
-// Engine is a fake model engine with continuous batching and a least-recently-used prefix cache.
+// Engine simulates a model engine with continuous batching, chunked prefill and a prefix cache with LRU eviction.
 type Engine struct {
 	cfg EngineConfig
 
@@ -61,33 +62,36 @@
 	down    bool
 	waiting []*sequence
 	running []*sequence
-	inUse   int
-	idle    int
-	order   *list.List
-	entries map[string]*list.Element
+	// inUse and idle are the memory of running calls and of idle prefixes, in tokens.
+	inUse int
+	idle  int
+	// lru holds the idle prefixes, the most recently used first, and prefixes the same by program.
+	lru      *list.List
+	prefixes map[string]*list.Element
+	// written and reused count the tokens written to the cache and those of them that were reused.
 	written int
 	reused  int
-	// evictions counts the idle prefixes dropped for lack of memory.
+	// evictions counts the idle prefixes evicted for lack of memory.
 	evictions int
 	wake      chan struct{}
 	closed    bool
 }
 
-// NewEngine returns a running engine.
+// NewEngine starts an engine; Close stops it.
 func NewEngine(cfg EngineConfig) *Engine {
-	e := &Engine{cfg: cfg, order: list.New(), entries: map[string]*list.Element{}, wake: make(chan struct{}, 1)}
-	go e.loop()
+	e := &Engine{cfg: cfg, lru: list.New(), prefixes: map[string]*list.Element{}, wake: make(chan struct{}, 1)}
+	go e.run()
 	return e
 }
 
-func (e *Engine) signal() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// submit runs a call and returns its outcome.
+// submit queues a call and waits for its outcome.
 func (e *Engine) submit(program string, prompt, output int) outcome {
 	s := &sequence{program: program, prompt: prompt, output: output, start: time.Now(), done: make(chan outcome, 1)}
 	e.mu.Lock()
@@ -96,19 +100,19 @@
 		return outcome{err: errEngineDown}
 	}
 	e.waiting = append(e.waiting, s)
-	e.signal()
+	e.wakeLoop()
 	e.mu.Unlock()
 	return <-s.done
 }
 
-// Release drops a program's idle prefix.
+// Release drops a program's idle prefix without counting it as an eviction.
 func (e *Engine) Release(program string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.drop(program)
+	e.dropPrefix(program)
 }
 
-// SetDown kills the engine with all its calls and memory, or brings it back empty.
+// SetDown takes the engine down, which fails all its calls and empties its cache, or brings it back up.
 func (e *Engine) SetDown(down bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,39 +124,40 @@
 		s.done <- outcome{err: errEngineDown}
 	}
 	e.running, e.waiting, e.inUse = nil, nil, 0
-	for e.order.Len() > 0 {
-		e.drop(e.order.Back().Value.(*prefix).program)
+	for e.lru.Len() > 0 {
+		e.dropPrefix(e.lru.Back().Value.(*prefix).program)
 	}
 }
 
-// Close stops the engine.
+// Close stops the engine once it has no running call.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
-	e.signal()
+	e.wakeLoop()
 }
 
-// Held returns the idle prefixes' tokens, by program.
-func (e *Engine) Held() map[string]int {
+// IdlePrefixes returns the lengths of the idle prefixes in tokens, by program.
+func (e *Engine) IdlePrefixes() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := map[string]int{}
-	for id, el := range e.entries {
+	for id, el := range e.prefixes {
 		held[id] = el.Value.(*prefix).tokens
 	}
 	return held
 }
 
-// Share returns the share of the memory in use or idle.
-func (e *Engine) Share() float64 {
+// MemoryUse returns the share of the memory that running calls and idle prefixes take; calls larger than the memory give
+// values above 1.
+func (e *Engine) MemoryUse() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return float64(e.inUse+e.idle) / float64(e.cfg.MemoryTokens)
 }
 
-// loop runs steps while there is work.
-func (e *Engine) loop() {
+// run executes steps while there are calls, and waits for calls otherwise.
+func (e *Engine) run() {
 	for {
 		d, closed := e.step()
 		switch {
@@ -162,32 +167,33 @@
 			<-e.wake
 		default:
 			time.Sleep(d)
-			e.advance()
+			e.finishStep()
 		}
 	}
 }
 
-// step admits waiting calls, as they came, and returns the time of the next step, 0 without work.
-func (e *Engine) step() (d time.Duration, closed bool) {
+// step admits waiting calls in order of arrival and returns the duration of the next step, or 0 if there is no call.
+// closed is true if there is none and the engine was closed.
+func (e *Engine) step() (duration time.Duration, closed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.admit()
 	if len(e.running) == 0 {
 		return 0, e.closed
 	}
-	d = e.cfg.StepBase
+	duration = e.cfg.StepBase
 	chunk := e.cfg.ChunkTokens
 	for _, s := range e.running {
-		if s.left == 0 {
-			d += e.cfg.StepPerCall
+		if s.prefillLeft == 0 {
+			duration += e.cfg.StepPerCall
 			continue
 		}
-		n := min(s.left, chunk)
+		n := min(s.prefillLeft, chunk)
 		chunk -= n
-		s.left -= n
-		d += time.Duration(n) * e.cfg.PrefillPerToken
+		s.prefillLeft -= n
+		duration += time.Duration(n) * e.cfg.PrefillPerToken
 	}
-	return d, false
+	return duration, false
 }
 
 func (e *Engine) admit() {
@@ -198,57 +204,58 @@
 			return
 		}
 		e.waiting = e.waiting[1:]
-		cached := e.take(s.program, s.prompt)
-		s.left = s.prompt - cached
-		s.computed = s.left
+		cached := e.reuse(s.program, s.prompt)
+		s.prefillLeft = s.prompt - cached
+		s.prefilled = s.prefillLeft
 		e.inUse += need
 		e.evict()
 		e.running = append(e.running, s)
 	}
 }
 
-// take removes a program's idle prefix and returns how many of the prompt's tokens it covers.
-func (e *Engine) take(program string, prompt int) int {
-	el := e.entries[program]
+// reuse removes a program's idle prefix and returns the number of prompt tokens that it covers.
+func (e *Engine) reuse(program string, prompt int) int {
+	el := e.prefixes[program]
 	if el == nil {
 		return 0
 	}
 	p := el.Value.(*prefix)
-	e.reused += p.fresh
-	e.drop(program)
+	e.reused += p.unused
+	e.dropPrefix(program)
 	return min(p.tokens, prompt)
 }
 
+// evict drops the least recently used idle prefixes until the memory suffices.
 func (e *Engine) evict() {
-	for e.inUse+e.idle > e.cfg.MemoryTokens && e.order.Len() > 0 {
+	for e.inUse+e.idle > e.cfg.MemoryTokens && e.lru.Len() > 0 {
 		e.evictions++
-		e.drop(e.order.Back().Value.(*prefix).program)
+		e.dropPrefix(e.lru.Back().Value.(*prefix).program)
 	}
 }
 
-func (e *Engine) drop(program string) {
-	el := e.entries[program]
+func (e *Engine) dropPrefix(program string) {
+	el := e.prefixes[program]
 	if el == nil {
 		return
 	}
 	e.idle -= el.Value.(*prefix).tokens
-	e.order.Remove(el)
-	delete(e.entries, program)
+	e.lru.Remove(el)
+	delete(e.prefixes, program)
 }
 
-// advance ends a step: each call whose prompt is computed gets a token.
-func (e *Engine) advance() {
+// finishStep adds one token to each call whose prompt is computed, and ends the calls that are complete.
+func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	rest := e.running[:0]
 	for _, s := range e.running {
-		if s.left == 0 {
-			s.made++
-			if s.made == 1 {
-				s.first = time.Since(s.start)
+		if s.prefillLeft == 0 {
+			s.generated++
+			if s.generated == 1 {
+				s.firstToken = time.Since(s.start)
 			}
 		}
-		if s.made < s.output {
+		if s.generated < s.output {
 			rest = append(rest, s)
 			continue
 		}
@@ -257,14 +264,14 @@
 	e.running = rest
 }
 
-// finish keeps a call's prefix as an idle one.
+// finish ends a call and caches its prompt and output as an idle prefix.
 func (e *Engine) finish(s *sequence) {
 	tokens := s.prompt + s.output
 	e.inUse -= tokens
-	e.written += s.computed + s.output
-	e.drop(s.program)
-	e.entries[s.program] = e.order.PushFront(&prefix{program: s.program, tokens: tokens, fresh: s.computed + s.output})
+	e.written += s.prefilled + s.output
+	e.dropPrefix(s.program)
+	e.prefixes[s.program] = e.lru.PushFront(&prefix{program: s.program, tokens: tokens, unused: s.prefilled + s.output})
 	e.idle += tokens
 	e.evict()
-	s.done <- outcome{computed: s.computed, firstToken: s.first, total: time.Since(s.start)}
+	s.done <- outcome{prefilled: s.prefilled, firstToken: s.firstToken, total: time.Since(s.start)}
 }
--- a/internal/proof/hgbench/measure_test.go
+++ b/internal/proof/hgbench/measure_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// seeds returns the number of seeds: HGBENCH_SEEDS, or one.
+// seeds returns the number of seeds from HGBENCH_SEEDS, by default 1.
 func seeds(t *testing.T) uint64 {
 	s := os.Getenv("HGBENCH_SEEDS")
 	if s == "" {
@@ -22,10 +22,10 @@
 	return n
 }
 
-// selected tells whether a name contains the value of an environment variable.
-func selected(variable, name string) bool { return strings.Contains(name, os.Getenv(variable)) }
+// matches reports whether a name contains the value of an environment variable.
+func matches(variable, name string) bool { return strings.Contains(name, os.Getenv(variable)) }
 
-// measure returns the results of a policy over all seeds, in virtual time.
+// measure runs a policy with all seeds in virtual time and returns the sum of the results.
 func measure(t *testing.T, c Case, p Policy) (sum Result) {
 	for seed := range seeds(t) {
 		synctest.Test(t, func(*testing.T) { sum = sum.Plus(Run(c, p, seed+1)) })
@@ -33,12 +33,12 @@
 	return sum
 }
 
-// shortArrivals is the time in which programs arrive without HGBENCH_SEEDS.
+// shortArrivals is the time in which programs arrive if HGBENCH_SEEDS is not set.
 const shortArrivals = 15 * time.Second
 
-// TestMeasurements prints the table of docs/MEASUREMENTS.md. With HGBENCH_SEEDS it runs as many seeds;
-// without, one seed of short workloads. HGBENCH_CASE and HGBENCH_POLICY select rows by a part of their names.
-// Retries must stay within the preset's share of the calls, also while engines are lost.
+// TestMeasurements prints the table of docs/MEASUREMENTS.md. It runs HGBENCH_SEEDS seeds, by default one seed of short
+// workloads. HGBENCH_CASE and HGBENCH_POLICY select rows by a substring of their names. It guards against retry storms:
+// retries must stay within the preset's share of the calls, also while engines are down.
 func TestMeasurements(t *testing.T) {
 	t.Log("\n" + Header)
 	for _, c := range Cases() {
@@ -46,7 +46,7 @@
 			c.Arrivals = shortArrivals
 		}
 		for _, p := range Policies {
-			if !selected("HGBENCH_CASE", c.Shape.Name+" "+c.Name) || !selected("HGBENCH_POLICY", p.Name) {
+			if !matches("HGBENCH_CASE", c.Shape.Name+" "+c.Name) || !matches("HGBENCH_POLICY", p.Name) {
 				continue
 			}
 			r := measure(t, c, p)
@@ -54,12 +54,12 @@
 			if r.Done == 0 {
 				t.Errorf("%s under %s: no program was done", p.Name, c.Name)
 			}
-			if most := r.Calls*preset(p).RetryPercent/100 + maxBurst*int(seeds(t)); r.Retries > most {
+			if maxRetries := r.Calls*preset(p).RetryPercent/100 + maxRetryBurst*int(seeds(t)); r.Retries > maxRetries {
 				t.Errorf("%s under %s: %d retries of %d calls", p.Name, c.Name, r.Retries, r.Calls)
 			}
 		}
 	}
 }
 
-// maxBurst is the number of retries of all nodes that need no earlier call.
-const maxBurst = 3 * nodes
+// maxRetryBurst is the number of retries that the budgets of all nodes allow before their first calls.
+const maxRetryBurst = 3 * nodes
--- a/internal/proof/hgbench/result.go
+++ b/internal/proof/hgbench/result.go
@@ -8,22 +8,28 @@
 	"github.com/samber/lo"
 )
 
-// Result is what one run, or several together, gave.
+// Result holds the counts and latencies of one run, or the sums over several runs.
 type Result struct {
-	Offered    int
-	Done       int
-	Good       int
+	// Offered is the number of programs that arrived, Done of those that ended, and Good of those that ended within
+	// goodLatency.
+	Offered int
+	Done    int
+	Good    int
+	// Calls is the number of calls with an answer, Dispatches that of dispatches to engines, Refusals that of refusals by
+	// the scheduler, and Retries that of repeated dispatches after an engine failed.
 	Calls      int
 	Dispatches int
 	Refusals   int
 	Retries    int
-	Written    int
-	Unused     int
-	// Moves is the number of calls that ran on another engine than their program's last one.
+	// Written is the number of tokens written to prefix caches, and Unused of those never reused.
+	Written int
+	Unused  int
+	// Moves is the number of calls that ran on another engine than their program's previous call.
 	Moves int
-	// Evictions is the number of idle prefixes of unfinished programs that engines dropped for lack of memory.
+	// Evictions is the number of idle prefixes that engines evicted for lack of memory.
 	Evictions int
-	// latencies are those of the programs, first tokens and gaps between tokens those of the calls.
+	// latencies is by program; firstTokens, the times to the first token, and gaps, the mean times between tokens, are by
+	// call.
 	latencies   []time.Duration
 	firstTokens []time.Duration
 	gaps        []time.Duration
@@ -31,25 +37,26 @@
 
 func newResult() Result { return Result{} }
 
-// answered adds a call's time to its first token, with all waits and refusals, and its mean time between tokens.
-func (r *Result) answered(first, gap time.Duration) {
+// addCall records a call's time to the first token, waits and refusals included, and its mean time between tokens.
+func (r *Result) addCall(first, gap time.Duration) {
 	r.firstTokens = append(r.firstTokens, first)
 	r.gaps = append(r.gaps, gap)
 }
 
-func (r *Result) add(d time.Duration, ok bool) {
+// addProgram records a program's latency, or that its caller gave up.
+func (r *Result) addProgram(d time.Duration, ok bool) {
 	r.Offered++
 	if !ok {
 		return
 	}
 	r.Done++
-	if d <= goodWithin {
+	if d <= goodLatency {
 		r.Good++
 	}
 	r.latencies = append(r.latencies, d)
 }
 
-// Plus returns the results of two runs together.
+// Plus returns the sum of two results.
 func (r Result) Plus(o Result) Result {
 	r.Offered += o.Offered
 	r.Done += o.Done
@@ -68,7 +75,7 @@
 	return r
 }
 
-// Mean returns the mean program latency.
+// Mean returns the mean latency of the programs that ended.
 func (r Result) Mean() time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
@@ -76,13 +83,13 @@
 	return lo.Sum(r.latencies) / time.Duration(len(r.latencies))
 }
 
-// Quantile returns a quantile of the program latency.
+// Quantile returns the quantile q, from 0 to 1, of the latencies of the programs that ended.
 func (r Result) Quantile(q float64) time.Duration { return quantile(r.latencies, q) }
 
-// FirstToken returns a quantile of the calls' times to the first token.
+// FirstToken returns the quantile q of the calls' times to the first token.
 func (r Result) FirstToken(q float64) time.Duration { return quantile(r.firstTokens, q) }
 
-// Gap returns a quantile of the calls' mean times between tokens.
+// Gap returns the quantile q of the calls' mean times between tokens.
 func (r Result) Gap(q float64) time.Duration { return quantile(r.gaps, q) }
 
 func quantile(times []time.Duration, q float64) time.Duration {
@@ -94,14 +101,14 @@
 	return l[min(int(q*float64(len(l))), len(l)-1)]
 }
 
-// Wasted returns the share of the written prefix tokens that were never reused.
+// Wasted returns the share, from 0 to 1, of the written prefix tokens that were never reused.
 func (r Result) Wasted() float64 { return float64(r.Unused) / float64(max(r.Written, 1)) }
 
-// Header is the head of the table that Row makes lines for.
+// Header is the header of the Markdown table whose rows Row returns.
 const Header = `| workload | policy | mean s | p50 | p95 | p99 | first token p95 s | between tokens p95 ms | wasted | good in 60 s | undone | refusals | moves | evictions | retries | dispatches/calls |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|`
 
-// Row returns the result as a line of a Markdown table.
+// Row returns the result as a row of a Markdown table.
 func (r Result) Row(workload, policy string) string {
 	return fmt.Sprintf("| %s | %s | %.2f | %.2f | %.2f | %.2f | %.2f | %.1f | %.1f %% | %.1f %% | %d | %d | %d | %d | %d | %.3f |",
 		workload, policy, r.Mean().Seconds(), r.Quantile(0.5).Seconds(), r.Quantile(0.95).Seconds(), r.Quantile(0.99).Seconds(),
--- a/internal/proof/hgbench/slope_test.go
+++ b/internal/proof/hgbench/slope_test.go
@@ -21,8 +21,8 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// cpu returns the processor time of the process.
-func cpu() time.Duration {
+// processorTime returns the user and system time of the process.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -30,8 +30,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// TestSlopes prints the figures of docs/CAPACITY.md, each at three sizes or more. It checks nothing,
-// so that it runs only with HGBENCH_SLOPES.
+// TestSlopes prints the figures of docs/CAPACITY.md: how costs grow with the size of a cell or its load, each at three
+// sizes or more. It checks nothing, so it runs only if HGBENCH_SLOPES is set.
 func TestSlopes(t *testing.T) {
 	if os.Getenv("HGBENCH_SLOPES") == "" {
 		t.Skip("HGBENCH_SLOPES is not set")
@@ -49,8 +49,8 @@
 	t.Run("idle", idleSlope)
 }
 
-// beatOf returns a heartbeat of a node in a cell of so many nodes before five replicas each.
-func beatOf(nodes, shards int) hginner.Beat {
+// newBeat returns the heartbeat of a node in a cell of the given number of nodes, with five replicas per node.
+func newBeat(nodes, shards int) hginner.Beat {
 	names, calls, held := []string{}, map[string]int{}, map[string]int{}
 	for i := range 5 * nodes {
 		id := fmt.Sprintf("engine-%03d", i)
@@ -65,16 +65,16 @@
 	return b
 }
 
-// heartbeatSlope measures a heartbeat's size on an open connection and the time to encode and decode it.
+// heartbeatSlope measures the size of a heartbeat on an established connection, and the time to encode and decode it.
 func heartbeatSlope(t *testing.T) {
 	t.Log("nodes in cell, replicas, bytes per heartbeat, µs per heartbeat, bytes/s sent and received per node at 500 ms")
 	for _, nodes := range []int{5, 10, 20, 40} {
-		b := beatOf(nodes, 64)
+		b := newBeat(nodes, 64)
 		var buf bytes.Buffer
 		enc, dec := gob.NewEncoder(&buf), gob.NewDecoder(&buf)
 		const rounds = 2000
 		size := 0
-		start := cpu()
+		start := processorTime()
 		for i := range rounds {
 			if err := enc.Encode(b); err != nil {
 				t.Fatal(err)
@@ -87,13 +87,13 @@
 				t.Fatal(err)
 			}
 		}
-		took := (cpu() - start) / rounds
-		// With each peer there are two exchanges a second, of one heartbeat each way.
+		took := (processorTime() - start) / rounds
+		// A node has two exchanges a second with each peer, with one heartbeat in each direction.
 		t.Logf("%d, %d, %d, %.1f, %d", nodes, 5*nodes, size, float64(took)/1e3, size*(nodes-1)*2*2)
 	}
 }
 
-// openAndAnswer returns the records of a model call with a prompt and an answer of so many bytes.
+// openAndAnswer returns the records of a model call whose prompt and answer have size bytes each.
 func openAndAnswer(s *hgprogram.Shard, program string, seq uint64, size int) []hgprogram.Record {
 	c := hgcall.Call{
 		Program: program, Seq: seq, Request: fmt.Sprintf("%s-%d", program, seq), Kind: hgcall.Model, Target: "m", MaxTokens: 100,
@@ -104,14 +104,14 @@
 	return append(recs, s.Finish(program, c.Request, r, 0)...)
 }
 
-// recordSlope measures a call's records: time in the state machine and the codec, and bytes in the journal.
+// recordSlope measures the records of a call: processor time in the state machine and the codec, and bytes in the journal.
 func recordSlope(t *testing.T) {
 	t.Log("calls per batch, bytes of text per call, journal bytes per call, µs per call")
 	for _, n := range []int{10, 100, 1000} {
 		for _, size := range []int{400, 1600} {
 			const rounds = 20
 			bytesPerCall := 0
-			start := cpu()
+			start := processorTime()
 			for range rounds {
 				s := hgprogram.NewShard()
 				var recs []hgprogram.Record
@@ -124,51 +124,52 @@
 				}
 				bytesPerCall = len(data) / n
 			}
-			t.Logf("%d, %d, %d, %.1f", n, 2*size, bytesPerCall, float64(cpu()-start)/1e3/float64(n*rounds))
+			t.Logf("%d, %d, %d, %.1f", n, 2*size, bytesPerCall, float64(processorTime()-start)/1e3/float64(n*rounds))
 		}
 	}
 }
 
-// memorySlope measures the memory of programs with ten turns of so much text.
+// memorySlope measures the heap memory of programs with ten turns, by the size of their texts.
 func memorySlope(t *testing.T) {
 	t.Log("programs, bytes of text per program, heap bytes per program")
-	heap()
+	heapBytes()
 	for _, n := range []int{500, 2000, 8000} {
 		for _, size := range []int{100, 1000} {
-			before := int64(heap())
+			before := int64(heapBytes())
 			s := hgprogram.NewShard()
 			for i := range n {
 				for seq := range uint64(10) {
 					openAndAnswer(s, fmt.Sprintf("p%d", i), seq+1, size)
 				}
 			}
-			t.Logf("%d, %d, %d", n, 20*size, (int64(heap())-before)/int64(n))
+			t.Logf("%d, %d, %d", n, 20*size, (int64(heapBytes())-before)/int64(n))
 			runtime.KeepAlive(s)
 		}
 	}
 }
 
-func heap() uint64 {
+// heapBytes returns the size of the live heap after a garbage collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// idle ignores what a committer reports.
-type idle struct{}
+// ignoreEvents is a hgjournal.Events that does nothing.
+type ignoreEvents struct{}
 
-func (idle) Committed(uint32, uint64)           {}
-func (idle) LostShard(uint32)                   {}
-func (idle) CommitDone(int, int, time.Duration) {}
+func (ignoreEvents) Committed(uint32, uint64)           {}
+func (ignoreEvents) LostShard(uint32)                   {}
+func (ignoreEvents) CommitDone(int, int, time.Duration) {}
 
-// recoverySlope measures the takeover of a shard by the number of its records.
+// recoverySlope measures the recovery of a shard's state from the store, by the number of records.
 func recoverySlope(t *testing.T) {
 	t.Log("records, reads of the platform, ms of processor time, ms per 1,000 records")
 	for _, calls := range []int{500, 2500, 10_000} {
 		store := hgstore.NewMemory()
 		ctx, cancel := context.WithCancel(t.Context())
-		w := hgjournal.NewCommitter(store, "run", idle{}, hgjournal.WithRate(10_000))
+		w := hgjournal.NewCommitter(store, "run", ignoreEvents{}, hgjournal.WithRate(10_000))
 		rows, err := hgjournal.ReadRows(ctx, store, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -187,14 +188,14 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		cancel()
-		reads, start := store.Usage().Reads, cpu()
+		reads, start := store.Usage().Reads, processorTime()
 		recovered(t, store, s.N())
-		took := cpu() - start
+		took := processorTime() - start
 		t.Logf("%d, %d, %.1f, %.2f", s.N(), store.Usage().Reads-reads, took.Seconds()*1e3, took.Seconds()*1e6/float64(s.N()))
 	}
 }
 
-// recovered tells whether the store holds all records of the shard.
+// recovered reports whether the shard's state recovered from the store has n records.
 func recovered(t *testing.T, store hgstore.Store, n uint64) bool {
 	t.Helper()
 	rows, err := hgjournal.ReadRows(t.Context(), store, 1)
@@ -208,7 +209,8 @@
 	return states[0].N() == n
 }
 
-// turnSlope measures the bytes of a question for a turn and of its end, with their answers, on an open connection.
+// turnSlope measures the bytes of acquiring and releasing a quarantine turn from another node, replies included, on an
+// established connection.
 func turnSlope(t *testing.T) {
 	t.Log("calls, bytes per call if another node keeps its turn")
 	for _, n := range []int{10, 100, 1000} {
--- a/internal/proof/hgbench/workload.go
+++ b/internal/proof/hgbench/workload.go
@@ -7,62 +7,66 @@
 	"time"
 )
 
-// Turn is one model call of a program and the pause for a tool after it.
+// Turn is one model call of a program and the tool call after it.
 type Turn struct {
-	New    int
-	Output int
-	Tool   string
-	Pause  time.Duration
-	// Agents are the sub-agents that run in the pause; the next turn waits for them.
-	Agents []Program
+	// NewTokens is the length of the new message, and OutputTokens that of the answer.
+	NewTokens    int
+	OutputTokens int
+	Tool         string
+	// Pause is the time of the tool call.
+	Pause time.Duration
+	// SubAgents run during the pause; the next turn waits for them.
+	SubAgents []Program
 }
 
-// Program is a chain of turns.
+// Program is a sequence of turns; Arrive is its time of arrival after the start of the run.
 type Program struct {
 	ID     string
 	Arrive time.Duration
 	Turns  []Turn
 }
 
-// Shape describes the programs of a deployment.
+// Shape describes the programs and the engines of a deployment.
 type Shape struct {
 	Name   string
 	Engine EngineConfig
-	// First, New and Output are the least and most tokens of a first message, a later one and an answer.
-	First, New, Output [2]int
-	// Tail is the exponent of the Pareto distribution of the number of turns; Turns bounds it.
-	Tail  float64
-	Turns int
-	// Pause is the median pause for a tool.
-	Pause time.Duration
-	// Agents is the probability of sub-agents in a pause.
-	Agents float64
+	// FirstTokens, NewTokens and OutputTokens are the minimum and maximum lengths of the first message, of later ones and
+	// of answers.
+	FirstTokens, NewTokens, OutputTokens [2]int
+	// TurnsExponent is the exponent of the Pareto distribution of the number of turns, which is cut off at MaxTurns.
+	TurnsExponent float64
+	MaxTurns      int
+	// MedianPause is the median time of a tool call, multiplied for each tool by its factor in toolPauseFactors.
+	MedianPause time.Duration
+	// SubAgentProbability is the probability that sub-agents run during a pause.
+	SubAgentProbability float64
 	// Replicas is the number of engines.
 	Replicas int
 }
 
-// engine is the speed of the engines of both deployments.
-var engine = EngineConfig{
+// engineConfig describes the engines of both deployments.
+var engineConfig = EngineConfig{
 	StepBase: 8 * time.Millisecond, StepPerCall: 500 * time.Microsecond, PrefillPerToken: 60 * time.Microsecond,
 	ChunkTokens: 512, MaxBatch: 64, MemoryTokens: 120_000,
 }
 
-// Derwent has short programs, Fjordbom long conversations.
+// The two deployments: Derwent has short programs, Fjordbom long conversations.
 var (
 	Derwent = Shape{
-		Name: "derwent", Engine: engine, First: [2]int{800, 2000}, New: [2]int{60, 400}, Output: [2]int{30, 200},
-		Tail: 1.3, Turns: 20, Pause: 700 * time.Millisecond, Agents: 0.08, Replicas: 10,
+		Name: "derwent", Engine: engineConfig, FirstTokens: [2]int{800, 2000}, NewTokens: [2]int{60, 400}, OutputTokens: [2]int{30, 200},
+		TurnsExponent: 1.3, MaxTurns: 20, MedianPause: 700 * time.Millisecond, SubAgentProbability: 0.08, Replicas: 10,
 	}
 	Fjordbom = Shape{
-		Name: "fjordbom", Engine: engine, First: [2]int{2000, 6000}, New: [2]int{200, 1500}, Output: [2]int{60, 300},
-		Tail: 1.0, Turns: 30, Pause: 1500 * time.Millisecond, Agents: 0.05, Replicas: 10,
+		Name: "fjordbom", Engine: engineConfig, FirstTokens: [2]int{2000, 6000}, NewTokens: [2]int{200, 1500}, OutputTokens: [2]int{60, 300},
+		TurnsExponent: 1.0, MaxTurns: 30, MedianPause: 1500 * time.Millisecond, SubAgentProbability: 0.05, Replicas: 10,
 	}
 )
 
-// tools are the tools' names and the factor of their pauses.
-var tools = map[string]float64{"lookup": 0.5, "form": 1, "person": 4}
+// toolPauseFactors maps the tools to the factors of their pauses.
+var toolPauseFactors = map[string]float64{"lookup": 0.5, "form": 1, "person": 4}
 
-// Generate returns programs that arrive for the time d at a share of what the replicas carry with perfect caches.
+// Generate returns the programs that arrive within d. load is the ratio of the arrival rate to the capacity of the
+// replicas with perfect caches.
 func Generate(s Shape, load float64, d time.Duration, seed uint64) []Program {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	rate := load * s.capacity()
@@ -72,23 +76,24 @@
 		if at >= d {
 			return programs
 		}
-		programs = append(programs, s.program(fmt.Sprintf("p%d", len(programs)), at, s.Turns, rnd))
+		programs = append(programs, s.program(fmt.Sprintf("p%d", len(programs)), at, s.MaxTurns, rnd))
 	}
 }
 
-func (s Shape) program(id string, at time.Duration, most int, rnd *rand.Rand) Program {
-	n := min(int(math.Pow(1-rnd.Float64(), -1/s.Tail)), most)
+// program draws a program; one with fewer turns than s.MaxTurns allowed is a sub-agent and has no sub-agents itself.
+func (s Shape) program(id string, at time.Duration, maxTurns int, rnd *rand.Rand) Program {
+	n := min(int(math.Pow(1-rnd.Float64(), -1/s.TurnsExponent)), maxTurns)
 	p := Program{ID: id, Arrive: at}
 	for i := range n {
-		t := Turn{New: between(s.New, rnd), Output: between(s.Output, rnd)}
+		t := Turn{NewTokens: uniform(s.NewTokens, rnd), OutputTokens: uniform(s.OutputTokens, rnd)}
 		if i == 0 {
-			t.New = between(s.First, rnd)
+			t.NewTokens = uniform(s.FirstTokens, rnd)
 		}
 		t.Tool = []string{"lookup", "form", "person"}[min(int(rnd.ExpFloat64()), 2)]
-		t.Pause = time.Duration(tools[t.Tool] * float64(s.Pause) * math.Exp(0.5*rnd.NormFloat64()))
-		if most == s.Turns && i < n-1 && rnd.Float64() < s.Agents {
+		t.Pause = time.Duration(toolPauseFactors[t.Tool] * float64(s.MedianPause) * math.Exp(0.5*rnd.NormFloat64()))
+		if maxTurns == s.MaxTurns && i < n-1 && rnd.Float64() < s.SubAgentProbability {
 			for a := range 1 + rnd.IntN(3) {
-				t.Agents = append(t.Agents, s.program(fmt.Sprintf("%s/a%d-%d", id, i, a), 0, agentTurns, rnd))
+				t.SubAgents = append(t.SubAgents, s.program(fmt.Sprintf("%s/a%d-%d", id, i, a), 0, maxSubAgentTurns, rnd))
 			}
 		}
 		p.Turns = append(p.Turns, t)
@@ -96,33 +101,35 @@
 	return p
 }
 
-// agentTurns bounds the turns of a sub-agent.
-const agentTurns = 4
+// maxSubAgentTurns is the largest number of turns of a sub-agent.
+const maxSubAgentTurns = 4
 
-func between(r [2]int, rnd *rand.Rand) int { return r[0] + rnd.IntN(r[1]-r[0]+1) }
+// uniform draws an integer between r[0] and r[1], both included.
+func uniform(r [2]int, rnd *rand.Rand) int { return r[0] + rnd.IntN(r[1]-r[0]+1) }
 
-// capacitySeed and capacityPrograms give the sample from which the capacity is worked out.
+// capacitySeed and capacityPrograms determine the sample of programs from which the capacity is computed.
 const (
 	capacitySeed     = 99
 	capacityPrograms = 4000
 )
 
-// capacity returns the programs per second that the replicas carry with every prefix cached: bounded by their time
-// at a batch of 24, and by their memory, which a program's conversation takes from its first call to its last.
+// capacity returns the number of programs per second that the replicas can carry with every prefix cached. The limit is
+// their time at a batch of capacityBatch calls, or their memory, which a program's conversation takes from the first call
+// to the last.
 func (s Shape) capacity() float64 {
 	rnd := rand.New(rand.NewPCG(capacitySeed, 1))
 	var sum usage
 	for range capacityPrograms {
-		sum = sum.plus(s.usage(s.program("", 0, s.Turns, rnd)))
+		sum = sum.plus(s.usage(s.program("", 0, s.MaxTurns, rnd)))
 	}
 	n := float64(s.Replicas) * capacityPrograms
 	return min(n/sum.busy.Seconds(), n*float64(s.Engine.MemoryTokens)/sum.tokenSeconds)
 }
 
-// batch is the size of the batch at which an engine's capacity is worked out.
-const batch = 24
+// capacityBatch is the batch size at which the capacity of an engine is computed.
+const capacityBatch = 24
 
-// usage is what a program takes of an engine: its time, and its memory over time.
+// usage is what a program takes of an engine: its time, and its memory in tokens times seconds.
 type usage struct {
 	busy         time.Duration
 	tokenSeconds float64
@@ -133,18 +140,18 @@
 }
 
 func (s Shape) usage(p Program) (u usage) {
-	step := s.Engine.StepBase + batch*s.Engine.StepPerCall
+	step := s.Engine.StepBase + capacityBatch*s.Engine.StepPerCall
 	context := 0
 	for i, t := range p.Turns {
-		prefill := time.Duration(t.New) * s.Engine.PrefillPerToken
-		u.busy += prefill + time.Duration(t.Output)*step/batch
-		context += t.New + t.Output
-		stay := prefill + time.Duration(t.Output)*step
+		prefill := time.Duration(t.NewTokens) * s.Engine.PrefillPerToken
+		u.busy += prefill + time.Duration(t.OutputTokens)*step/capacityBatch
+		context += t.NewTokens + t.OutputTokens
+		held := prefill + time.Duration(t.OutputTokens)*step
 		if i < len(p.Turns)-1 {
-			stay += t.Pause
+			held += t.Pause
 		}
-		u.tokenSeconds += float64(context) * stay.Seconds()
-		for _, a := range t.Agents {
+		u.tokenSeconds += float64(context) * held.Seconds()
+		for _, a := range t.SubAgents {
 			u = u.plus(s.usage(a))
 		}
 	}
