--- a/internal/proof/hgreplay/replay.go
+++ b/internal/proof/hgreplay/replay.go
@@ -204,7 +204,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Calls++
-	p.report.Asked += a.Tries
+	p.report.Sent += a.Tries
 	p.report.calls[c.Request] = c
 	var r *hgcall.Refusal
 	if errors.As(err, &r) {
--- a/internal/proof/hgreplay/report.go
+++ b/internal/proof/hgreplay/report.go
@@ -18,9 +18,9 @@
 	// Done is the number of programs whose calls all had an answer, and Undone that of the others.
 	Done   int `json:"programsDone"`
 	Undone int `json:"programsUndone"`
-	// Calls is the number of requests, and Asked how often they were sent, retries included.
+	// Calls is the number of requests, and Sent the number of times that they were sent, retries included.
 	Calls int `json:"calls"`
-	Asked int `json:"asked"`
+	Sent  int `json:"asked"`
 	// Refusals counts refusals by "kind/reason".
 	Refusals map[string]int `json:"refusals"`
 	// Violations describes each broken guarantee.
@@ -80,7 +80,7 @@
 	l := r.Latency()
 	fmt.Fprintf(w, "%-28s %d of %d\n", "programs done", r.Done, r.Done+r.Undone)
 	fmt.Fprintf(w, "%-28s %.0f / %d / %d / %d\n", "latency ms mean/p50/p95/p99", l.MeanMs, l.P50Ms, l.P95Ms, l.P99Ms)
-	fmt.Fprintf(w, "%-28s %d, sent %d times\n", "calls", r.Calls, r.Asked)
+	fmt.Fprintf(w, "%-28s %d, sent %d times\n", "calls", r.Calls, r.Sent)
 	fmt.Fprintf(w, "%-28s %.1f %% of %d tokens\n", "wasted cache", 100*r.WastedShare(), r.Written)
 	kinds := lo.Keys(r.Refusals)
 	sort.Strings(kinds)
