--- a/cmd/hyssopgrade/experiment.go
+++ b/cmd/hyssopgrade/experiment.go
@@ -15,7 +15,7 @@
 )
 
 func experimentCommand() *cli.Command {
-	policies, loads := slices.Sorted(maps.Keys(hgmodel.Policies)), slices.Sorted(maps.Keys(hgmodel.Loads))
+	policies, loads := slices.Sorted(maps.Keys(hgmodel.Policies)), slices.Sorted(maps.Keys(hgmodel.Workloads))
 	return &cli.Command{
 		Name: "experiment", Usage: "play placing policies on model engines in virtual time and compare them",
 		Flags: []cli.Flag{
@@ -40,16 +40,16 @@
 		e.Policies = append(e.Policies, policy)
 	}
 	for _, name := range c.StringSlice("load") {
-		load, ok := hgmodel.Loads[name]
+		load, ok := hgmodel.Workloads[name]
 		if !ok {
 			return trace.BadParameter("load %q", name)
 		}
-		e.Loads = append(e.Loads, lo.Map(c.FloatSlice("rate"), func(r float64, _ int) hgmodel.Workload { return load(r) })...)
+		e.Workloads = append(e.Workloads, lo.Map(c.FloatSlice("rate"), func(r float64, _ int) hgmodel.Workload { return load(r) })...)
 	}
 	if c.String("plot") != "" && len(c.StringSlice("load")) != 1 {
 		return trace.BadParameter("a plot shows one load")
 	}
-	means := hgmodel.Means(e.Play())
+	means := hgmodel.Means(e.Run())
 	if c.String("plot") != "" {
 		if err := hgmodel.Plot(c.String("plot"), means); err != nil {
 			return err
--- a/cmd/hyssopgrade/node.go
+++ b/cmd/hyssopgrade/node.go
@@ -46,7 +46,7 @@
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
-	n, err := do.Invoke[*hgnode.Node](hgnode.Wire(cfg, keys, log, hgnode.Release{Version: version}))
+	n, err := do.Invoke[*hgnode.Node](hgnode.NewInjector(cfg, keys, log, hgnode.BuildInfo{Version: version}))
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 		return err
 	}
 	<-signals
-	ctx, cancel := context.WithTimeout(context.Background(), hgconfig.MS(cfg.Limits.DrainMs))
+	ctx, cancel := context.WithTimeout(context.Background(), hgconfig.Milliseconds(cfg.Limits.DrainMs))
 	defer cancel()
 	go func() {
 		<-signals
--- a/cmd/hyssopgrade/replay.go
+++ b/cmd/hyssopgrade/replay.go
@@ -33,7 +33,7 @@
 		return o, trace.BadParameter("speed %v: want more than 0", c.Float("speed"))
 	}
 	return hgreplay.Options{
-		Speed: c.Float("speed"), Deadline: c.Duration("deadline"), Patience: c.Duration("patience"), Progress: printProgress,
+		Speed: c.Float("speed"), Deadline: c.Duration("deadline"), RetryWindow: c.Duration("patience"), Progress: printProgress,
 	}, nil
 }
 
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	cell, err := hgcell.NewCell(hgcell.Demo(log))
+	cell, err := hgcell.NewCell(hgcell.DemoOptions(log))
 	if err != nil {
 		return err
 	}
--- a/cmd/hyssopgradesoak/main.go
+++ b/cmd/hyssopgradesoak/main.go
@@ -53,7 +53,7 @@
 			return err
 		}
 		fmt.Printf("seed %d: %d programs, answers %v, faults %v, %d violations\n", seed, r.Programs, r.Counts, r.Faults, len(r.Violations))
-		if len(r.Violations) == 0 && r.Counts[hgsoak.OwnEnds] <= maxStartExits {
+		if len(r.Violations) == 0 && r.Counts[hgsoak.UnexpectedExits] <= maxStartExits {
 			_ = os.RemoveAll(dir)
 			continue
 		}
--- a/hgbound/bound.go
+++ b/hgbound/bound.go
@@ -14,7 +14,7 @@
 	return Bound{Key: key, Value: value, Low: low, High: high}
 }
 
-// Broken returns the first Bound whose value is out of its range; ok is false if there is none.
-func Broken(bounds []Bound) (b Bound, ok bool) {
+// FirstOutOfRange returns the first Bound whose value is out of its range; ok is false if there is none.
+func FirstOutOfRange(bounds []Bound) (b Bound, ok bool) {
 	return lo.Find(bounds, func(b Bound) bool { return b.Value < b.Low || b.Value > b.High })
 }
--- a/hgbound/bound_test.go
+++ b/hgbound/bound_test.go
@@ -21,7 +21,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, ok := Broken(tc.bounds)
+			got, ok := FirstOutOfRange(tc.bounds)
 			if diff := cmp.Diff([]any{tc.want, tc.want != ""}, []any{got.Key, ok}); diff != "" {
 				t.Errorf("broken (-want +got):\n%s", diff)
 			}
--- a/hgcall/refusal.go
+++ b/hgcall/refusal.go
@@ -45,18 +45,18 @@
 	ReasonStore Reason = "storeUnavailable"
 	// ReasonOwner means that the owner of the program's shard is not reachable.
 	ReasonOwner Reason = "ownerUnavailable"
-	// ReasonEndpoint means that there was no connection to an endpoint for the target.
-	ReasonEndpoint Reason = "endpointUnavailable"
+	// ReasonEndpointUnavailable means that there was no connection to an endpoint for the target.
+	ReasonEndpointUnavailable Reason = "endpointUnavailable"
 	// ReasonPreset means that the node can't confirm the preset in force.
 	ReasonPreset Reason = "presetUnconfirmed"
-	// ReasonDispatched means that the call was dispatched and its outcome was lost.
-	ReasonDispatched Reason = "dispatchedWithoutOutcome"
+	// ReasonOutcomeLost means that the call was dispatched and its outcome was lost.
+	ReasonOutcomeLost Reason = "dispatchedWithoutOutcome"
 	// ReasonInProgress means that the request is running already.
 	ReasonInProgress Reason = "inProgress"
 	// ReasonBadField means that a field of the request is invalid.
 	ReasonBadField Reason = "badField"
-	// ReasonEndpointFail means that the endpoint failed while it ran the call, or that a tool answered with a status of 400 or more.
-	ReasonEndpointFail Reason = "endpointFailed"
+	// ReasonEndpointFailed means that the endpoint failed while it ran the call, or that a tool answered with a status of 400 or more.
+	ReasonEndpointFailed Reason = "endpointFailed"
 	// ReasonNoAnswer is set by the callers' client library only.
 	ReasonNoAnswer Reason = "noFinalAnswer"
 )
--- a/hgmember/view.go
+++ b/hgmember/view.go
@@ -74,9 +74,9 @@
 // never is the time of a heartbeat that has not come; it is further back than Limits.Silent.
 const never = -time.Hour
 
-// Registered updates the view by the registrations that were read from the store. Peers without a registration are dropped, and
+// SetRegistered updates the view by the registrations that were read from the store. Peers without a registration are dropped, and
 // so are silent peers whose registration was not refreshed for Limits.Gone.
-func (v *View) Registered(members []Member, now time.Duration) {
+func (v *View) SetRegistered(members []Member, now time.Duration) {
 	found := map[string]bool{}
 	for _, m := range members {
 		if m.ID == v.self.ID {
@@ -97,8 +97,8 @@
 	})
 }
 
-// Heard updates the view by a peer's heartbeat; one from an unregistered node is ignored.
-func (v *View) Heard(h Heartbeat, now time.Duration) {
+// RecordHeartbeat updates the view by a peer's heartbeat; one from an unregistered node is ignored.
+func (v *View) RecordHeartbeat(h Heartbeat, now time.Duration) {
 	p := v.peers[h.ID]
 	if p == nil {
 		return
@@ -136,9 +136,9 @@
 	return lo.Filter(v.Peers(), func(m Member, _ int) bool { return v.isLive(v.peers[m.ID], now) })
 }
 
-// Takers returns the members that may own shards: the live peers that are not draining, then the node itself unless it is
+// EligibleOwners returns the members that may own shards: the live peers that are not draining, then the node itself unless it is
 // draining.
-func (v *View) Takers(draining bool, now time.Duration) []Member {
+func (v *View) EligibleOwners(draining bool, now time.Duration) []Member {
 	takers := lo.Filter(v.Live(now), func(m Member, _ int) bool { return !v.peers[m.ID].draining })
 	if !draining {
 		takers = append(takers, v.self)
--- a/hgmember/view_test.go
+++ b/hgmember/view_test.go
@@ -18,20 +18,20 @@
 		at     time.Duration
 		want   bool
 	}{
-		"heard":                        {func(v *View) { v.Heard(beat("b"), now) }, now, false},
+		"heard":                        {func(v *View) { v.RecordHeartbeat(beat("b"), now) }, now, false},
 		"silent to this node alone":    {func(*View) {}, now, false},
-		"another domain confirms":      {func(v *View) { v.Heard(beat("c", "b"), now) }, now, true},
-		"only the own domain confirms": {func(v *View) { v.Heard(beat("d", "b"), now) }, now, false},
-		"a peer still hears it":        {func(v *View) { v.Heard(beat("c", "b"), now); v.Heard(beat("d"), now) }, now, false},
+		"another domain confirms":      {func(v *View) { v.RecordHeartbeat(beat("c", "b"), now) }, now, true},
+		"only the own domain confirms": {func(v *View) { v.RecordHeartbeat(beat("d", "b"), now) }, now, false},
+		"a peer still hears it":        {func(v *View) { v.RecordHeartbeat(beat("c", "b"), now); v.RecordHeartbeat(beat("d"), now) }, now, false},
 		"registration is stale":        {func(*View) {}, 16 * time.Second, true},
-		"registered by another run":    {func(v *View) { v.Registered([]Member{{ID: "b", Run: "b2"}}, now) }, now, true},
-		"heard as another run":         {func(v *View) { v.Heard(Heartbeat{ID: "b", Run: "b2"}, now) }, now, true},
-		"registration was removed":     {func(v *View) { v.Registered([]Member{{ID: "c", Run: "c1"}}, now) }, now, true},
+		"registered by another run":    {func(v *View) { v.SetRegistered([]Member{{ID: "b", Run: "b2"}}, now) }, now, true},
+		"heard as another run":         {func(v *View) { v.RecordHeartbeat(Heartbeat{ID: "b", Run: "b2"}, now) }, now, true},
+		"registration was removed":     {func(v *View) { v.SetRegistered([]Member{{ID: "c", Run: "c1"}}, now) }, now, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			v := NewView(Member{ID: "a", Run: "a1", Domain: "x"}, lim)
-			v.Registered([]Member{
+			v.SetRegistered([]Member{
 				{ID: "a", Run: "a1", Domain: "x"}, {ID: "b", Run: "b1", Domain: "y"},
 				{ID: "c", Run: "c1", Domain: "z"}, {ID: "d", Run: "d1", Domain: "x"},
 			}, 0)
--- a/hgpreset/choose.go
+++ b/hgpreset/choose.go
@@ -16,11 +16,11 @@
 
 func logKey(n uint64) string { return fmt.Sprintf("%s%016d", logPrefix, n) }
 
-// Taken is the error of a choice that lost the race: Winner was accepted under the same version number.
-type Taken struct{ Winner Version }
+// ConflictError is the error of a choice that lost the race: Winner was accepted under the same version number.
+type ConflictError struct{ Winner Version }
 
 // Error returns who took the version and for which preset.
-func (e *Taken) Error() string {
+func (e *ConflictError) Error() string {
 	return fmt.Sprintf("version %d was taken by %s for preset %q", e.Winner.Number, e.Winner.By, e.Winner.Preset.Name)
 }
 
@@ -72,7 +72,7 @@
 		case found && winner.Nonce == v.Nonce:
 			return v, nil
 		case found:
-			return v, &Taken{Winner: winner}
+			return v, &ConflictError{Winner: winner}
 		}
 		select {
 		case <-ctx.Done():
--- a/hgpreset/gate.go
+++ b/hgpreset/gate.go
@@ -23,8 +23,8 @@
 // VersionCodec encodes the row under Key and the rows of accepted versions.
 var VersionCodec hgcodec.JSON[Version]
 
-// Peer is the part about presets of a peer's heartbeat.
-type Peer struct {
+// PeerStatus is the part about presets of a peer's heartbeat.
+type PeerStatus struct {
 	// Number is the version that the peer applies.
 	Number uint64
 	// Age is the time since that version was last known to be the newest.
@@ -50,7 +50,7 @@
 
 // peerReport is the last report of a peer.
 type peerReport struct {
-	Peer
+	PeerStatus
 	// at is the time at which the peer was asked for the report.
 	at time.Duration
 }
@@ -64,9 +64,9 @@
 // Applied returns the version that the node applies.
 func (g *Gate) Applied() Version { return g.applied }
 
-// StoreRead records the version that a read of the store returned; the read started at the time `at`. changed reports that
+// RecordRead records the version that a read of the store returned; the read started at the time `at`. changed reports that
 // v is newer and applied from now on.
-func (g *Gate) StoreRead(v Version, at time.Duration) (changed bool) {
+func (g *Gate) RecordRead(v Version, at time.Duration) (changed bool) {
 	g.storeFailing = false
 	return g.Adopt(v, at)
 }
@@ -83,24 +83,24 @@
 	return changed
 }
 
-// StoreFailed records that a read of the store failed.
-func (g *Gate) StoreFailed() { g.storeFailing = true }
+// RecordReadFailure records that a read of the store failed.
+func (g *Gate) RecordReadFailure() { g.storeFailing = true }
 
-// Members replaces the identifiers of the peers that have to be heard during an outage of the store.
-func (g *Gate) Members(ids []string) { g.members = ids }
+// SetMembers replaces the identifiers of the peers that have to be heard during an outage of the store.
+func (g *Gate) SetMembers(ids []string) { g.members = ids }
 
-// PeerSaid records the report that a peer was asked for at the time `at`. A peer that applies the same version confirms it.
+// RecordPeer records the report that a peer was asked for at the time `at`. A peer that applies the same version confirms it.
 // behind reports that the peer applies a newer version, which is to be read from it or from the store.
-func (g *Gate) PeerSaid(id string, p Peer, at time.Duration) (behind bool) {
-	g.peers[id] = peerReport{Peer: p, at: at}
+func (g *Gate) RecordPeer(id string, p PeerStatus, at time.Duration) (behind bool) {
+	g.peers[id] = peerReport{PeerStatus: p, at: at}
 	if p.Number == g.applied.Number {
 		g.confirmed = max(g.confirmed, at-p.Age)
 	}
 	return p.Number > g.applied.Number
 }
 
-// PeerNumber returns the number of the version that a peer last reported to apply, 0 for an unknown peer.
-func (g *Gate) PeerNumber(id string) uint64 { return g.peers[id].Number }
+// PeerVersion returns the number of the version that a peer last reported to apply, 0 for an unknown peer.
+func (g *Gate) PeerVersion(id string) uint64 { return g.peers[id].Number }
 
 // Age returns the time since the applied version was last known to be the newest, 0 while an outage of the store makes a newer one
 // impossible.
--- a/hgpreset/preset.go
+++ b/hgpreset/preset.go
@@ -69,7 +69,7 @@
 	if !lo.Contains(QueuePolicies(), p.QueuePolicy) {
 		return trace.BadParameter("queuePolicy %q: want one of %s", p.QueuePolicy, strings.Join(QueuePolicies(), ", "))
 	}
-	if b, ok := hgbound.Broken(p.bounds()); ok {
+	if b, ok := hgbound.FirstOutOfRange(p.bounds()); ok {
 		return trace.BadParameter("%s %d: want %d to %d", b.Key, b.Value, b.Low, b.High)
 	}
 	if p.RemoteDomainMs < 0 || p.RecomputeWeight < 0 {
--- a/hgpreset/preset_test.go
+++ b/hgpreset/preset_test.go
@@ -120,7 +120,7 @@
 func choose(t *testing.T, store hgstore.Table, by string) seen {
 	for {
 		v, err := Choose(t.Context(), store, Version{}, Shipped()["peak"], by)
-		var taken *Taken
+		var taken *ConflictError
 		switch {
 		case errors.As(err, &taken):
 			return seen{taken: true}
@@ -151,31 +151,31 @@
 		applied uint64
 	}{
 		"never confirmed":              {func(*Gate) {}, 0, false, 1},
-		"read from the store":          {func(g *Gate) { g.StoreRead(v(2), time.Second) }, 9 * time.Second, true, 2},
-		"bound has passed":             {func(g *Gate) { g.StoreRead(v(2), time.Second) }, 9*time.Second + 1, false, 2},
-		"an older row does not revert": {func(g *Gate) { g.StoreRead(v(3), 0); g.StoreRead(v(2), time.Second) }, 0, true, 3},
-		"peer confirms with its age":   {func(g *Gate) { g.PeerSaid("b", Peer{Number: 1, Age: 2 * time.Second}, 10*time.Second) }, 16 * time.Second, true, 1},
-		"peer's age counts":            {func(g *Gate) { g.PeerSaid("b", Peer{Number: 1, Age: 2 * time.Second}, 10*time.Second) }, 16*time.Second + 1, false, 1},
-		"newer peer confirms nothing":  {func(g *Gate) { g.PeerSaid("b", Peer{Number: 2}, 10*time.Second) }, 10 * time.Second, false, 1},
+		"read from the store":          {func(g *Gate) { g.RecordRead(v(2), time.Second) }, 9 * time.Second, true, 2},
+		"bound has passed":             {func(g *Gate) { g.RecordRead(v(2), time.Second) }, 9*time.Second + 1, false, 2},
+		"an older row does not revert": {func(g *Gate) { g.RecordRead(v(3), 0); g.RecordRead(v(2), time.Second) }, 0, true, 3},
+		"peer confirms with its age":   {func(g *Gate) { g.RecordPeer("b", PeerStatus{Number: 1, Age: 2 * time.Second}, 10*time.Second) }, 16 * time.Second, true, 1},
+		"peer's age counts":            {func(g *Gate) { g.RecordPeer("b", PeerStatus{Number: 1, Age: 2 * time.Second}, 10*time.Second) }, 16*time.Second + 1, false, 1},
+		"newer peer confirms nothing":  {func(g *Gate) { g.RecordPeer("b", PeerStatus{Number: 2}, 10*time.Second) }, 10 * time.Second, false, 1},
 		"store out of reach for all": {func(g *Gate) {
-			g.StoreRead(v(1), 0)
-			g.Members([]string{"b", "c"})
-			g.StoreFailed()
-			g.PeerSaid("b", Peer{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
-			g.PeerSaid("c", Peer{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
+			g.RecordRead(v(1), 0)
+			g.SetMembers([]string{"b", "c"})
+			g.RecordReadFailure()
+			g.RecordPeer("b", PeerStatus{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
+			g.RecordPeer("c", PeerStatus{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
 		}, 61 * time.Second, true, 1},
 		"a member reaches the store": {func(g *Gate) {
-			g.StoreRead(v(1), 0)
-			g.Members([]string{"b", "c"})
-			g.StoreFailed()
-			g.PeerSaid("b", Peer{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
-			g.PeerSaid("c", Peer{Number: 1, Age: time.Hour}, 60*time.Second)
+			g.RecordRead(v(1), 0)
+			g.SetMembers([]string{"b", "c"})
+			g.RecordReadFailure()
+			g.RecordPeer("b", PeerStatus{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
+			g.RecordPeer("c", PeerStatus{Number: 1, Age: time.Hour}, 60*time.Second)
 		}, 61 * time.Second, false, 1},
 		"a member is silent": {func(g *Gate) {
-			g.StoreRead(v(1), 0)
-			g.Members([]string{"b", "c"})
-			g.StoreFailed()
-			g.PeerSaid("b", Peer{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
+			g.RecordRead(v(1), 0)
+			g.SetMembers([]string{"b", "c"})
+			g.RecordReadFailure()
+			g.RecordPeer("b", PeerStatus{Number: 1, Age: time.Hour, StoreFailing: true}, 60*time.Second)
 		}, 61 * time.Second, false, 1},
 	}
 	for name, tc := range tests {
--- a/hgprogram/shard.go
+++ b/hgprogram/shard.go
@@ -52,8 +52,8 @@
 func (Wait) decision()   {}
 func (Refuse) decision() {}
 
-// Limits are the limits on tokens for programs and calls that set none themselves.
-type Limits struct {
+// Defaults are the limits on tokens for programs and calls that set none themselves.
+type Defaults struct {
 	// BudgetTokens is a root program's budget.
 	BudgetTokens uint64
 	// MaxTokens bounds a model call's output.
@@ -77,8 +77,8 @@
 // Len returns the number of programs.
 func (s *Shard) Len() int { return len(s.programs) }
 
-// Known decides about a duplicate of a request that the shard knows; ok is false for a new request. It writes no records.
-func (s *Shard) Known(c hgcall.Call) (d Decision, ok bool) {
+// DecideDuplicate decides about a duplicate of a request that the shard knows; ok is false for a new request. It writes no records.
+func (s *Shard) DecideDuplicate(c hgcall.Call) (d Decision, ok bool) {
 	p := s.programs[c.Program]
 	if p == nil || p.byRequest[c.Request] == nil {
 		return nil, false
@@ -87,8 +87,8 @@
 }
 
 // Begin decides about a call that has passed hgcall.Call.Check. The records of its decision are already applied.
-func (s *Shard) Begin(c hgcall.Call, lim Limits, now time.Duration) Decision {
-	if d, ok := s.Known(c); ok {
+func (s *Shard) Begin(c hgcall.Call, lim Defaults, now time.Duration) Decision {
+	if d, ok := s.DecideDuplicate(c); ok {
 		return d
 	}
 	p := s.programs[c.Program]
@@ -160,7 +160,7 @@
 }
 
 // budget returns the token budget of the program that a call opens; a sub-agent uses its root program's.
-func budget(c hgcall.Call, lim Limits) uint64 {
+func budget(c hgcall.Call, lim Defaults) uint64 {
 	switch {
 	case c.Root() != c.Program:
 		return 0
@@ -175,7 +175,7 @@
 
 // reservation returns the tokens to reserve for a call, which it can't exceed, and the limit on its output. Its input counts one
 // token per byte, for no token is shorter. Without a limit of its own a call gets the default, reduced to what is left.
-func reservation(c hgcall.Call, lim Limits, left uint64) (reserve, maxTokens uint64) {
+func reservation(c hgcall.Call, lim Defaults, left uint64) (reserve, maxTokens uint64) {
 	if c.Kind == hgcall.Tool {
 		return 0, 0
 	}
@@ -257,8 +257,8 @@
 	return []Record{s.record(Record{Type: Ended, Program: programID}, now)}
 }
 
-// Forget evicts root programs, with their sub-agents, that run no call and were last active before the given time.
-func (s *Shard) Forget(before, now time.Duration) []Record {
+// EvictIdle evicts root programs, with their sub-agents, that run no call and were last active before the given time.
+func (s *Shard) EvictIdle(before, now time.Duration) []Record {
 	busy := map[string]bool{}
 	for _, p := range s.programs {
 		if p.open != nil || p.lastActive >= before {
--- a/hgprogram/shard_test.go
+++ b/hgprogram/shard_test.go
@@ -11,7 +11,7 @@
 	"hyssopgrade/hgcall"
 )
 
-var limits = Limits{BudgetTokens: 1000, MaxTokens: 50}
+var limits = Defaults{BudgetTokens: 1000, MaxTokens: 50}
 
 func call(program string, seq uint64, request string) hgcall.Call {
 	return hgcall.Call{
--- a/hgquarantine/turns.go
+++ b/hgquarantine/turns.go
@@ -33,9 +33,9 @@
 	since  time.Duration
 }
 
-// Turns serializes the copies of a request until one of them has proven harmless. Otherwise copies of a crashing request
+// Serializer serializes the copies of a request until one of them has proven harmless. Otherwise copies of a crashing request
 // that are sent at the same time would each crash an endpoint. It has no locks; the caller serializes access.
-type Turns struct {
+type Serializer struct {
 	running map[Key]run
 	// proven and older are two generations of requests whose copies may run concurrently. When proven is full, it replaces
 	// older, which bounds the memory.
@@ -43,17 +43,17 @@
 	older  map[Key]bool
 }
 
-// NewTurns returns a Turns without running copies or proven requests.
-func NewTurns() *Turns {
-	return &Turns{running: map[Key]run{}, proven: map[Key]bool{}}
+// NewSerializer returns a Turns without running copies or proven requests.
+func NewSerializer() *Serializer {
+	return &Serializer{running: map[Key]run{}, proven: map[Key]bool{}}
 }
 
 // Proven reports whether a copy of the request has run without crashing its endpoint.
-func (t *Turns) Proven(k Key) bool { return t.proven[k] || t.older[k] }
+func (t *Serializer) Proven(k Key) bool { return t.proven[k] || t.older[k] }
 
 // Enter reports whether a copy may run now, and records it as running. It may run if the request is proven, or if no other
 // copy that entered less than exclusiveFor ago is still running.
-func (t *Turns) Enter(k Key, h Holder, now time.Duration) (ok bool) {
+func (t *Serializer) Enter(k Key, h Holder, now time.Duration) (ok bool) {
 	if t.Proven(k) {
 		return true
 	}
@@ -66,7 +66,7 @@
 }
 
 // Leave records that a copy no longer excludes others; proven means that its endpoint has not crashed.
-func (t *Turns) Leave(k Key, h Holder, proven bool) {
+func (t *Serializer) Leave(k Key, h Holder, proven bool) {
 	if t.running[k].holder == h {
 		delete(t.running, k)
 	}
@@ -81,13 +81,13 @@
 }
 
 // Refute removes a request from the proven ones, after an endpoint died while it ran the request.
-func (t *Turns) Refute(k Key) {
+func (t *Serializer) Refute(k Key) {
 	delete(t.proven, k)
 	delete(t.older, k)
 }
 
 // Tick drops the copies that entered at least exclusiveFor ago, because they no longer exclude others.
-func (t *Turns) Tick(now time.Duration) {
+func (t *Serializer) Tick(now time.Duration) {
 	for k, r := range t.running {
 		if now-r.since >= exclusiveFor {
 			delete(t.running, k)
--- a/hgretain/keeper.go
+++ b/hgretain/keeper.go
@@ -128,8 +128,8 @@
 	k.prefixes[program] = p
 }
 
-// Pressure records the share of an endpoint's memory in use, from 0 to 1.
-func (k *Keeper) Pressure(endpoint string, share float64) { k.pressure[endpoint] = share }
+// SetMemoryUse records the share of an endpoint's memory in use, from 0 to 1.
+func (k *Keeper) SetMemoryUse(endpoint string, share float64) { k.pressure[endpoint] = share }
 
 // Evicted records that an endpoint holds at most the given number of a program's tokens.
 func (k *Keeper) Evicted(program, endpoint string, tokens int) {
@@ -191,9 +191,9 @@
 	return nil
 }
 
-// Holds records the complete contents of an endpoint's memory, in tokens by program. Prefixes missing from it count as
+// SetContents records the complete contents of an endpoint's memory, in tokens by program. Prefixes missing from it count as
 // evicted.
-func (k *Keeper) Holds(endpoint string, tokens map[string]int) {
+func (k *Keeper) SetContents(endpoint string, tokens map[string]int) {
 	for id, p := range k.prefixes {
 		if p.endpoint == endpoint {
 			k.Evicted(id, endpoint, tokens[id])
@@ -201,9 +201,9 @@
 	}
 }
 
-// Demand adds the conversation lengths of the live programs, in tokens, to sum by the endpoint that last ran them.
+// AddDemand adds the conversation lengths of the live programs, in tokens, to sum by the endpoint that last ran them.
 // Evicted tokens count too, because they return to memory with the program's next call.
-func (k *Keeper) Demand(sum map[string]int) {
+func (k *Keeper) AddDemand(sum map[string]int) {
 	for _, p := range k.prefixes {
 		sum[p.endpoint] += p.context
 	}
--- a/hgretain/keeper_test.go
+++ b/hgretain/keeper_test.go
@@ -34,9 +34,9 @@
 		"moved":                              {func(k *Keeper) []Order { return k.Ran("p", "f", 600, now) }, order("e", "moved")},
 		"silent":                             {func(k *Keeper) []Order { return k.Tick(now + 101*time.Second) }, order("e", "silent")},
 		"not silent for long":                {func(k *Keeper) []Order { return k.Tick(now + 99*time.Second) }, nil},
-		"long pause, memory is full":         {func(k *Keeper) []Order { k.Pressure("e", 0.95); return k.Paused("p", "slow", now) }, order("e", "longPause")},
-		"long pause, memory is free":         {func(k *Keeper) []Order { k.Pressure("e", 0.5); return k.Paused("p", "slow", now) }, nil},
-		"short pause, memory is full":        {func(k *Keeper) []Order { k.Pressure("e", 0.95); return k.Paused("p", "quick", now) }, nil},
+		"long pause, memory is full":         {func(k *Keeper) []Order { k.SetMemoryUse("e", 0.95); return k.Paused("p", "slow", now) }, order("e", "longPause")},
+		"long pause, memory is free":         {func(k *Keeper) []Order { k.SetMemoryUse("e", 0.5); return k.Paused("p", "slow", now) }, nil},
+		"short pause, memory is full":        {func(k *Keeper) []Order { k.SetMemoryUse("e", 0.95); return k.Paused("p", "quick", now) }, nil},
 		"found, program is gone":             {func(k *Keeper) []Order { return k.Found("p", "g", 9, false, false, now) }, order("g", "orphan")},
 		"found on another endpoint":          {func(k *Keeper) []Order { return k.Found("p", "g", 9, true, false, now) }, order("g", "moved")},
 		"found elsewhere after its eviction": {func(k *Keeper) []Order { k.Evicted("p", "e", 0); return k.Found("p", "g", 9, true, false, now) }, nil},
@@ -58,8 +58,8 @@
 		want  int
 	}{
 		"as it ran":         {func(*Keeper) {}, 500},
-		"partly evicted":    {func(k *Keeper) { k.Holds("e", map[string]int{"p": 200}) }, 200},
-		"evicted":           {func(k *Keeper) { k.Holds("e", nil) }, 0},
+		"partly evicted":    {func(k *Keeper) { k.SetContents("e", map[string]int{"p": 200}) }, 200},
+		"evicted":           {func(k *Keeper) { k.SetContents("e", nil) }, 0},
 		"endpoint was lost": {func(k *Keeper) { k.EndpointLost("e") }, 0},
 	}
 	for name, tc := range tests {
@@ -68,7 +68,7 @@
 			tc.event(k)
 			endpoint, tokens, _ := k.Home("p")
 			demand := map[string]int{}
-			k.Demand(demand)
+			k.AddDemand(demand)
 			if diff := cmp.Diff([]any{"e", tc.want, 500}, []any{endpoint, tokens, demand["e"]}); diff != "" {
 				t.Errorf("endpoint, tokens and demand (-want +got):\n%s", diff)
 			}
--- a/hgroute/router.go
+++ b/hgroute/router.go
@@ -218,9 +218,9 @@
 // Failed records a failed call on endpoint i; refused means that the endpoint was unreachable or draining.
 func (r *Router) Failed(i int, refused bool, now time.Duration) { r.eps[i].recordFailure(refused, now) }
 
-// PeerLoad records a peer's load report for endpoint i: the peer's calls in flight and the tokens that its live programs
+// SetPeerLoad records a peer's load report for endpoint i: the peer's calls in flight and the tokens that its live programs
 // hold there.
-func (r *Router) PeerLoad(i int, peer string, calls, tokens int, now time.Duration) {
+func (r *Router) SetPeerLoad(i int, peer string, calls, tokens int, now time.Duration) {
 	r.eps[i].setPeerLoad(peer, peerLoad{calls: calls, tokens: tokens, at: now})
 }
 
--- a/hgroute/router_test.go
+++ b/hgroute/router_test.go
@@ -42,7 +42,7 @@
 		"no endpoint serves":           {func(*Router) {}, Query{Target: "x", Home: -1, Exclude: -1}, -1, false},
 		"alone waits for a call":       {func(r *Router) { start(r, 0); start(r, 1); start(r, 2) }, Query{Target: "m", Home: -1, Exclude: -1, Alone: true}, 0, true},
 		"alone takes the idle one":     {func(r *Router) { start(r, 0); start(r, 1) }, Query{Target: "m", Home: -1, Exclude: -1, Alone: true}, 2, false},
-		"peers fill the home's window": {func(r *Router) { r.PeerLoad(1, "peer", 100, 0, 0) }, Query{Target: "m", Home: 1, HomeTokens: 10, Tokens: 20, Exclude: -1}, 0, false},
+		"peers fill the home's window": {func(r *Router) { r.SetPeerLoad(1, "peer", 100, 0, 0) }, Query{Target: "m", Home: 1, HomeTokens: 10, Tokens: 20, Exclude: -1}, 0, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 			r := router(n, unchanged)
 			for i := range n {
 				for p := range 9 {
-					r.PeerLoad(i, fmt.Sprint("peer-", p), 2, 1000, 0)
+					r.SetPeerLoad(i, fmt.Sprint("peer-", p), 2, 1000, 0)
 				}
 			}
 			b.ReportAllocs()
--- a/hgshard/plan.go
+++ b/hgshard/plan.go
@@ -36,7 +36,7 @@
 // Plan is the shards that a node should claim and release now.
 type Plan struct {
 	// Claim are the rows of the shards to claim, as they were read; a claim is conditional on their versions.
-	Claim []hgjournal.SeenRow
+	Claim []hgjournal.VersionedRow
 	// Release are the held shards that another member should own.
 	Release []uint32
 }
@@ -57,8 +57,8 @@
 // Plan compares the shard rows with the view. held reports whether this node commits for a shard. A row that names this run but
 // whose shard is not held is claimed again, whichever member is preferred: the reply to the claim was lost or the recovery
 // failed, and no other node takes the shard over as long as this run is alive.
-func (p *Planner) Plan(rows []hgjournal.SeenRow, v *hgmember.View, held func(shard uint32) bool, draining bool, now time.Duration) (plan Plan) {
-	takers := v.Takers(draining, now)
+func (p *Planner) Plan(rows []hgjournal.VersionedRow, v *hgmember.View, held func(shard uint32) bool, draining bool, now time.Duration) (plan Plan) {
+	takers := v.EligibleOwners(draining, now)
 	self := v.Self()
 	for _, r := range rows {
 		m, ok := Preferred(r.Shard, takers)
--- a/hgshard/plan_test.go
+++ b/hgshard/plan_test.go
@@ -15,10 +15,10 @@
 func viewOfA(t *testing.T) (v *hgmember.View, mine, theirs uint32) {
 	t.Helper()
 	v = hgmember.NewView(hgmember.Member{ID: "a", Run: "a1", Domain: "x"}, hgmember.Limits{Silent: time.Second, Stale: time.Minute, Gone: time.Hour})
-	v.Registered([]hgmember.Member{{ID: "b", Run: "b1", Domain: "y"}, {ID: "c", Run: "c1", Domain: "z"}}, 0)
-	v.Heard(hgmember.Heartbeat{ID: "b", Run: "b1", Silent: []string{"c"}}, 0)
+	v.SetRegistered([]hgmember.Member{{ID: "b", Run: "b1", Domain: "y"}, {ID: "c", Run: "c1", Domain: "z"}}, 0)
+	v.RecordHeartbeat(hgmember.Heartbeat{ID: "b", Run: "b1", Silent: []string{"c"}}, 0)
 	for s := range uint32(100) {
-		m, _ := Preferred(s, v.Takers(false, 0))
+		m, _ := Preferred(s, v.EligibleOwners(false, 0))
 		if m.ID == "a" {
 			mine = s
 		} else {
@@ -58,7 +58,7 @@
 			if tc.preferred {
 				shard = mine
 			}
-			rows := []hgjournal.SeenRow{{Shard: shard, Version: 1, Row: tc.row}}
+			rows := []hgjournal.VersionedRow{{Shard: shard, Version: 1, Row: tc.row}}
 			plan := NewPlanner(time.Second).Plan(rows, v, func(uint32) bool { return tc.held }, tc.draining, 0)
 			got := "nothing"
 			switch {
@@ -79,11 +79,11 @@
 func TestEveryShardFindsAnOwner(t *testing.T) {
 	const shards = 64
 	ids := []string{"a", "b", "c"}
-	var rows []hgjournal.SeenRow
+	var rows []hgjournal.VersionedRow
 	held := map[string]map[uint32]bool{"a": {}, "b": {}, "c": {}}
 	for s := range uint32(shards) {
 		owner := append(ids, "", "dead")[s%5]
-		rows = append(rows, hgjournal.SeenRow{Shard: s, Row: hgjournal.ShardRow{Owner: owner, Run: owner + "1"}})
+		rows = append(rows, hgjournal.VersionedRow{Shard: s, Row: hgjournal.ShardRow{Owner: owner, Run: owner + "1"}})
 		if h := held[owner]; h != nil && s%2 == 0 {
 			h[s] = true
 		}
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, r := range rows {
-		m, _ := Preferred(r.Shard, viewOf("a", ids, 0).Takers(false, 0))
+		m, _ := Preferred(r.Shard, viewOf("a", ids, 0).EligibleOwners(false, 0))
 		if r.Row.Owner != m.ID || !held[m.ID][r.Shard] {
 			t.Errorf("shard %d: row names %q, preferred is %q, which holds it: %t", r.Shard, r.Row.Owner, m.ID, held[m.ID][r.Shard])
 		}
@@ -122,9 +122,9 @@
 	for _, other := range ids {
 		members = append(members, hgmember.Member{ID: other, Run: other + "1", Domain: fmt.Sprint("domain of ", other)})
 	}
-	v.Registered(members, now)
+	v.SetRegistered(members, now)
 	for _, other := range ids {
-		v.Heard(hgmember.Heartbeat{ID: other, Run: other + "1"}, now)
+		v.RecordHeartbeat(hgmember.Heartbeat{ID: other, Run: other + "1"}, now)
 	}
 	return v
 }
--- a/hgstore/within.go
+++ b/hgstore/within.go
@@ -14,8 +14,8 @@
 	prefix string
 }
 
-// Within returns a store whose rows and objects are those of inner under the prefix. The VM list is that of inner.
-func Within(inner Store, prefix string) Store { return prefixedStore{inner: inner, prefix: prefix} }
+// WithPrefix returns a store whose rows and objects are those of inner under the prefix. The VM list is that of inner.
+func WithPrefix(inner Store, prefix string) Store { return prefixedStore{inner: inner, prefix: prefix} }
 
 // row returns the row with the prefix removed from its key.
 func (s prefixedStore) row(r Row) Row {
--- a/internal/operate/hgconfig/config.go
+++ b/internal/operate/hgconfig/config.go
@@ -203,7 +203,7 @@
 }
 
 func (c Config) check(data string) (err error) {
-	if b, ok := hgbound.Broken(c.bounds()); ok {
+	if b, ok := hgbound.FirstOutOfRange(c.bounds()); ok {
 		return keyError(data, b.Key, "%d is outside %d to %d", b.Value, b.Low, b.High)
 	}
 	if c.Node.ID == "" || strings.ContainsAny(c.Node.ID, "/ ") {
@@ -296,5 +296,5 @@
 	return key, nil
 }
 
-// MS converts milliseconds, the unit of settings, to a duration.
-func MS(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+// Milliseconds converts milliseconds, the unit of settings, to a duration.
+func Milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/operate/hgconfig/entry.go
+++ b/internal/operate/hgconfig/entry.go
@@ -9,8 +9,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Entry is the settings file of an entry VM. The users' platform makes it from the template deploy/entry.toml.tmpl.
-type Entry struct {
+// EntryConfig is the settings file of an entry VM. The users' platform makes it from the template deploy/entry.toml.tmpl.
+type EntryConfig struct {
 	VM     EntryVM     `toml:"vm"`
 	Listen EntryListen `toml:"listen"`
 	Store  EntryStore  `toml:"store"`
@@ -73,9 +73,9 @@
 	AddressTTLSeconds float64 `toml:"addressTtlSeconds"`
 }
 
-// DefaultEntry returns the settings of an entry VM whose file sets none.
-func DefaultEntry() Entry {
-	return Entry{
+// DefaultEntryConfig returns the settings of an entry VM whose file sets none.
+func DefaultEntryConfig() EntryConfig {
+	return EntryConfig{
 		VM:     EntryVM{CPUShare: 1, Cores: 1},
 		Store:  EntryStore{WritesPerSecond: 800, ReadsPerSecond: 2000},
 		Bounds: EntryBounds{GraceSeconds: 8, AddressTTLSeconds: 5},
@@ -84,7 +84,7 @@
 }
 
 // ReadEntry reads and validates the settings file of an entry VM. An error names the key, its line and the values that are allowed.
-func ReadEntry(path string) (e Entry, err error) {
+func ReadEntry(path string) (e EntryConfig, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return e, trace.ConvertSystemError(err)
@@ -94,8 +94,8 @@
 }
 
 // ParseEntry decodes and validates the settings of an entry VM.
-func ParseEntry(data string) (e Entry, err error) {
-	e = DefaultEntry()
+func ParseEntry(data string) (e EntryConfig, err error) {
+	e = DefaultEntryConfig()
 	meta, err := toml.Decode(data, &e)
 	if err != nil {
 		return e, trace.BadParameter("%v", err)
@@ -106,7 +106,7 @@
 	return e, e.check(data)
 }
 
-func (e Entry) check(data string) (err error) {
+func (e EntryConfig) check(data string) (err error) {
 	for key, v := range map[string]struct{ value, low, high float64 }{
 		"vm.memoryMb":              {e.VM.MemoryMB, 32, 1 << 20},
 		"vm.cpuShare":              {e.VM.CPUShare, 0.001, 1},
--- a/internal/operate/hgedge/directory.go
+++ b/internal/operate/hgedge/directory.go
@@ -44,7 +44,7 @@
 	if sameDomain := lo.Filter(nodes, func(i hgpeer.Info, _ int) bool { return i.Domain == domain }); len(sameDomain) > 1 {
 		nodes = sameDomain
 	}
-	nodes = hgpeer.Strong(nodes)
+	nodes = hgpeer.ServingNodes(nodes)
 	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	return lo.Map(nodes[:min(len(nodes), maxAddresses)], func(i hgpeer.Info, _ int) string { return i.Public })
 }
--- a/internal/operate/hgedge/node.go
+++ b/internal/operate/hgedge/node.go
@@ -15,7 +15,7 @@
 
 	"hyssopgrade/hgtimer"
 	"hyssopgrade/internal/operate/hgconfig"
-	"hyssopgrade/internal/operate/hgfigure"
+	"hyssopgrade/internal/operate/hgtelemetry"
 	"hyssopgrade/internal/peer/hgpeer"
 	"hyssopgrade/internal/serve/hgentry"
 	"hyssopgrade/internal/serve/hgmemory"
@@ -48,7 +48,7 @@
 
 // Node is the process of an entry VM.
 type Node struct {
-	cfg     hgconfig.Entry
+	cfg     hgconfig.EntryConfig
 	log     *slog.Logger
 	timer   *hgtimer.Service
 	store   *hgplatform.Store
@@ -66,9 +66,9 @@
 	// nodeRows, replicaRows and suspectRows cache the decoded rows of the watched tables; suspectRows are the rows of
 	// nodeTable that describe suspect requests.
 	nodeRows    hgfeed.RowCache[hgpeer.Info]
-	replicaRows hgfeed.RowCache[hgreplica.Entry]
+	replicaRows hgfeed.RowCache[hgreplica.Registration]
 	suspectRows hgfeed.RowCache[hgsuspect.Row]
-	metrics     *hgfigure.Figures
+	metrics     *hgtelemetry.Recorder
 	suspects    *suspects
 
 	ctx       context.Context
@@ -86,10 +86,10 @@
 
 // NewNode returns a node with its parts; it listens on nothing until Start. An error means that the certificate or keys of
 // the settings cannot be used.
-func NewNode(cfg hgconfig.Entry, log *slog.Logger) (n *Node, err error) {
+func NewNode(cfg hgconfig.EntryConfig, log *slog.Logger) (n *Node, err error) {
 	n = &Node{cfg: cfg, log: log, timer: hgtimer.NewService()}
 	if cfg.Keys.Certificate != "" {
-		if n.tlsConfig, err = hgpeer.Secure(cfg.Keys.Certificate, cfg.Keys.Key, cfg.Keys.Authority); err != nil {
+		if n.tlsConfig, err = hgpeer.TLSConfig(cfg.Keys.Certificate, cfg.Keys.Key, cfg.Keys.Authority); err != nil {
 			return nil, err
 		}
 	}
@@ -97,14 +97,14 @@
 	boot := cfg.VM.Name + "/" + uuid.NewString()
 	n.health.timer = n.timer
 	n.store = hgplatform.NewStore(cfg.Store.Address, storeTimeout, n.health.observe)
-	n.metrics = hgfigure.NewFigures(log)
+	n.metrics = hgtelemetry.NewRecorder(log)
 	n.members = hgpeer.NewMembers(n.timer, hgpeer.Info{
 		Name: cfg.VM.Name, Boot: boot, Peer: cfg.Listen.Peer, Public: cfg.Listen.Public, Domain: cfg.VM.Domain,
 		Power: cfg.VM.CPUShare * cfg.VM.Cores, Started: time.Now().UnixMilli(),
 	}, cfg.VM.Domains...)
 	n.client = hgpeer.NewClient(n.tlsConfig)
 	n.ledger = hgledger.NewLedger(boot, hghedge.NewTable(n.store), n.timer, log,
-		hgledger.WithBackup(hgpeer.NewBackup(n.members, n.client)), hgledger.WithComplete(cfg.VM.FirstStart), hgledger.WithMarkers())
+		hgledger.WithBackup(hgpeer.NewBackup(n.members, n.client)), hgledger.WithAllProgramsKnown(cfg.VM.FirstStart), hgledger.WithMarkers())
 	n.replicas = hgreplica.NewSet(n.timer, cfg.VM.Domain, newReplicaClient)
 	n.suspects = &suspects{List: hgsuspect.NewList(n.timer, log), node: n}
 	n.replicas.OnEnd(n.suspects.replicaEnded)
@@ -151,7 +151,7 @@
 	n.timer.Every(savePeriod, n.saveBudgets)
 	n.timer.Every(suspectPeriod, n.suspects.save)
 	// A node that has run for minRetention counts as knowing all programs of its failure domain.
-	n.timer.After(minRetention, func(time.Duration) { n.ledger.Learn(nil, true) })
+	n.timer.After(minRetention, func(time.Duration) { n.ledger.AddKnownPrograms(nil, true) })
 	n.log.Info("started", "vm", n.cfg.VM.Name, "domain", n.cfg.VM.Domain, "public", n.cfg.Listen.Public, "ledger", n.ledger.String())
 	return nil
 }
@@ -216,7 +216,7 @@
 func (n *Node) returnBudgets(limit time.Duration) {
 	ctx, cancel := context.WithTimeout(n.ctx, limit)
 	defer cancel()
-	returned, failed := n.ledger.Return(ctx)
+	returned, failed := n.ledger.ReturnUnused(ctx)
 	n.log.Info("budgets returned", "programs", returned, "failed", failed)
 }
 
@@ -231,7 +231,7 @@
 			idle = max(idle, retentionFactor*r.RetainFor)
 		}
 	}
-	if dropped, failed := n.ledger.Forget(ctx, idle); dropped+failed > 0 {
+	if dropped, failed := n.ledger.EvictUnused(ctx, idle); dropped+failed > 0 {
 		n.log.Info("idle programs evicted", "programs", dropped, "failed", failed)
 	}
 }
--- a/internal/operate/hgedge/peer.go
+++ b/internal/operate/hgedge/peer.go
@@ -42,39 +42,41 @@
 func (h *peerHandler) Part(q hgledger.SoleRequest) hgledger.SoleReply {
 	ctx, cancel := context.WithTimeout(h.ctx, heartbeatTimeout)
 	defer cancel()
-	return h.ledger.Part(ctx, q)
+	return h.ledger.Share(ctx, q)
 }
 
 // Place assigns a replica to a peer's request.
-func (h *peerHandler) Place(a hgplacer.Ask) hgpeer.PlaceReply { return h.places.Serve(h.ctx, a) }
+func (h *peerHandler) Place(a hgplacer.PlaceRequest) hgpeer.PlaceReply {
+	return h.places.HandlePlace(h.ctx, a)
+}
 
 // Leave ends a peer's request for a place, or its use of one.
-func (h *peerHandler) Leave(q hgpeer.LeaveRequest) { h.places.Left(q) }
+func (h *peerHandler) Leave(q hgpeer.LeaveRequest) { h.places.HandleLeave(q) }
 
 // Seen returns the programs that this node knows of, by digest, and whether these are all.
 func (h *peerHandler) Seen() hgpeer.SeenReply {
-	programs, complete := h.ledger.AllSeen()
+	programs, complete := h.ledger.KnownPrograms()
 	return hgpeer.SeenReply{Programs: programs, Complete: complete}
 }
 
 // Beat processes a peer's heartbeat and returns this node's own as the answer.
 func (h *peerHandler) Beat(b hgpeer.Beat) hgpeer.Beat {
 	n := (*Node)(h)
-	news := h.members.Answer(b)
+	news := h.members.HandleHeartbeat(b)
 	n.learnPrograms()
-	n.replicas.HearLeaving(b.Leaving)
+	n.replicas.MergeLeaving(b.Leaving)
 	reply := n.heartbeat()
 	reply.News = news
-	reply.Suspects = h.suspects.Answer(b.Info.Name, b.Suspects)
+	reply.Suspects = h.suspects.HandleOffer(b.Info.Name, b.Suspects)
 	return reply
 }
 
 // Table returns this node's copy of a watched table; it is empty for other tables.
-func (h *peerHandler) Table(q hgpeer.TableRequest) hgfeed.Copy {
+func (h *peerHandler) Table(q hgpeer.TableRequest) hgfeed.Snapshot {
 	if w, ok := h.watches[q.Table]; ok {
 		return w.Snapshot()
 	}
-	return hgfeed.Copy{}
+	return hgfeed.Snapshot{}
 }
 
 // Open opens a turn of a program that this node serves for a peer.
@@ -97,7 +99,7 @@
 	for table, w := range n.watches {
 		changed[table] = w.Changed()
 	}
-	return hgpeer.Beat{Info: n.members.Self(), Changed: changed, InFlight: n.replicas.InFlight(), Leaving: n.replicas.SaidLeaving()}
+	return hgpeer.Beat{Info: n.members.Self(), Changed: changed, InFlight: n.replicas.InFlight(), Leaving: n.replicas.LeavingIncarnations()}
 }
 
 // runHeartbeats sends heartbeats in rounds until the node ends.
@@ -107,9 +109,9 @@
 		n.sendHeartbeats(n.members.Targets(round))
 		select {
 		case <-n.ctx.Done():
-		case <-time.After(n.members.Pace()):
+		case <-time.After(n.members.HeartbeatPeriod()):
 		}
-		n.replicas.SetGossip(n.members.InFlight())
+		n.replicas.SetPeerInFlight(n.members.InFlight())
 		n.shortenWatches()
 	}
 }
@@ -125,12 +127,12 @@
 // Only near peers are told of programs.
 func (n *Node) sendHeartbeats(near, far []hgpeer.Info) {
 	n.updateReady()
-	n.members.TellPrograms(n.ledger.Seen())
+	n.members.AnnouncePrograms(n.ledger.TakeNewPrograms())
 	b := n.heartbeat()
 	for _, p := range far {
 		go n.sendHeartbeat(p, b)
 	}
-	b.Programs = n.members.TakeUntold()
+	b.Programs = n.members.TakeUnannounced()
 	for _, p := range near {
 		go n.sendHeartbeat(p, b)
 	}
@@ -138,8 +140,8 @@
 
 // learnPrograms passes the programs that heartbeats of peers have reported on to the ledger.
 func (n *Node) learnPrograms() {
-	if programs := n.members.TakeUnused(); len(programs) > 0 {
-		n.ledger.Learn(programs, false)
+	if programs := n.members.TakeReceived(); len(programs) > 0 {
+		n.ledger.AddKnownPrograms(programs, false)
 	}
 }
 
@@ -147,15 +149,15 @@
 func (n *Node) sendHeartbeat(p hgpeer.Info, b hgpeer.Beat) {
 	ctx, cancel := context.WithTimeout(n.ctx, heartbeatTimeout)
 	defer cancel()
-	b.Ask, b.Suspects = n.members.AskOf(p), n.suspects.Offer(p.Name)
+	b.Ask, b.Suspects = n.members.GossipQueryFor(p), n.suspects.Offer(p.Name)
 	reply, err := n.client.Beat(ctx, p.Peer, b)
 	if err != nil || reply.Info.Name != p.Name {
-		n.members.Failed(p.Name)
+		n.members.HeartbeatFailed(p.Name)
 		return
 	}
-	n.members.Heard(reply)
-	n.suspects.Take(p.Name, reply.Suspects)
-	n.replicas.HearLeaving(reply.Leaving)
+	n.members.HandleReply(reply)
+	n.suspects.HandleAnswer(p.Name, reply.Suspects)
+	n.replicas.MergeLeaving(reply.Leaving)
 	n.learnPrograms()
 	n.fetchPrograms(ctx, reply.Info)
 	for table, changed := range reply.Changed {
@@ -174,7 +176,7 @@
 		n.log.Debug("cannot fetch the known programs from a peer", "peer", p.Name, "error", err)
 		return
 	}
-	n.ledger.Learn(reply.Programs, reply.Complete)
+	n.ledger.AddKnownPrograms(reply.Programs, reply.Complete)
 }
 
 // savePeriod is the time between two attempts to write the tokens that were taken from budgets while the store was unreachable.
@@ -191,7 +193,7 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, closeTimeout)
 	defer cancel()
-	if saved, left := n.ledger.Save(ctx); saved+left > 0 {
+	if saved, left := n.ledger.SaveClaims(ctx); saved+left > 0 {
 		n.log.Info("budgets saved", "programs", saved, "left", left)
 	}
 }
@@ -226,7 +228,7 @@
 		}
 		return i, err == nil
 	})
-	n.members.SetNamed(nodes)
+	n.members.SetRegistered(nodes)
 	n.checkReady()
 }
 
@@ -283,7 +285,7 @@
 	if !storeOK && ready {
 		ready = len(n.members.Live()) > 0
 	}
-	_, knowsAll := n.ledger.AllSeen()
+	_, knowsAll := n.ledger.KnownPrograms()
 	was := n.members.Self()
 	n.members.SetSelf(func(i hgpeer.Info) hgpeer.Info {
 		i.StoreOK, i.Ready, i.KnowsAll, i.Unsaved = storeOK, ready, knowsAll, n.ledger.Unsaved()
--- a/internal/operate/hgedge/replica.go
+++ b/internal/operate/hgedge/replica.go
@@ -53,14 +53,14 @@
 // applyReplicas applies the registrations of replicas. Missing ones are kept for the grace time that is left after an outage
 // of the store.
 func (n *Node) applyReplicas(rows map[string]hgstore.Row, grace time.Duration) {
-	entries := n.replicaRows.Decode(rows, func(row hgstore.Row) (e hgreplica.Entry, ok bool) {
+	entries := n.replicaRows.Decode(rows, func(row hgstore.Row) (e hgreplica.Registration, ok bool) {
 		e, err := hgplatform.DecodeReplica(row.Key, row.Value)
 		if err != nil {
 			n.log.Debug("ignoring a registration that cannot be decoded", "error", err, "version", row.Version)
 		}
 		return e, err == nil
 	})
-	n.replicas.Apply(lo.KeyBy(entries, func(e hgreplica.Entry) string { return e.ID }), grace)
+	n.replicas.Apply(lo.KeyBy(entries, func(e hgreplica.Registration) string { return e.ID }), grace)
 	n.checkReady()
 }
 
--- a/internal/operate/hgedge/suspect.go
+++ b/internal/operate/hgedge/suspect.go
@@ -47,9 +47,9 @@
 	savedAt time.Duration
 }
 
-// Broke counts a break and schedules a broadcast of it to peers and the store.
-func (s *suspects) Broke(r hgsuspect.Request) {
-	s.List.Broke(r)
+// RecordCrash counts a break and schedules a broadcast of it to peers and the store.
+func (s *suspects) RecordCrash(r hgsuspect.Request) {
+	s.List.RecordCrash(r)
 	if !s.scheduled.CompareAndSwap(false, true) {
 		return
 	}
@@ -65,7 +65,7 @@
 func (s *suspects) replicaEnded(id string) {
 	for _, r := range s.TakeUnanswered(id) {
 		s.node.log.Info("replica ended without answering a request", "replica", id, "digest", r.Caller)
-		s.Broke(r)
+		s.RecordCrash(r)
 	}
 }
 
@@ -90,7 +90,7 @@
 	if s.savedAt > 0 && s.node.timer.Now()-s.savedAt < period {
 		return
 	}
-	records := s.Unsaved(s.node.members.IsApart(), maxSuspects)
+	records := s.Unsaved(s.node.members.LacksMajority(), maxSuspects)
 	if len(records) == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 	now := time.Now()
 	var txn hgstore.Txn
 	for _, r := range records {
-		value, err := suspectCodec.Encode(hgsuspect.RowOf(r, now))
+		value, err := suspectCodec.Encode(hgsuspect.NewRow(r, now))
 		if err != nil {
 			s.node.log.Error("cannot encode suspect", "digest", r.Digest, "error", err)
 			return
--- a/internal/operate/hgfigure/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package hgfigure collects the counters, gauges and latencies of an entry VM, logs them periodically and writes them as text.
-package hgfigure
--- a/internal/operate/hgfigure/figures.go
+++ b/internal/operate/hgtelemetry/recorder.go
@@ -1,4 +1,4 @@
-package hgfigure
+package hgtelemetry
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 )
 
 const (
-	// reportInterval is how often tally reports counters and gauges to Figures.
+	// reportInterval is how often tally reports counters and gauges to Recorder.
 	reportInterval = time.Second
 	// logInterval is the shortest time between two log lines with counters and latencies.
 	logInterval = 5 * time.Second
@@ -24,8 +24,8 @@
 	significantDigits = 2
 )
 
-// Figures holds the metrics of one process. It receives them from tally as its reporter and is safe for concurrent use.
-type Figures struct {
+// Recorder holds the metrics of one process. It receives them from tally as its reporter and is safe for concurrent use.
+type Recorder struct {
 	log    *slog.Logger
 	scope  tally.Scope
 	closer io.Closer
@@ -39,9 +39,9 @@
 	lastLog time.Time
 }
 
-// NewFigures returns an empty set of metrics and starts their reporting, which lasts until Close.
-func NewFigures(log *slog.Logger) *Figures {
-	f := &Figures{
+// NewRecorder returns an empty set of metrics and starts their reporting, which lasts until Close.
+func NewRecorder(log *slog.Logger) *Recorder {
+	f := &Recorder{
 		log: log, counts: map[string]int64{}, gauges: map[string]float64{}, lastLog: time.Now(),
 		total: map[string]*hdrhistogram.Histogram{}, recent: map[string]*hdrhistogram.Histogram{},
 	}
@@ -50,33 +50,33 @@
 }
 
 // Count adds one to the counter of the given name.
-func (f *Figures) Count(name string) { f.scope.Counter(name).Inc(1) }
+func (f *Recorder) Count(name string) { f.scope.Counter(name).Inc(1) }
 
 // Observe records one duration, such as the latency of a request.
-func (f *Figures) Observe(name string, d time.Duration) { f.scope.Timer(name).Record(d) }
+func (f *Recorder) Observe(name string, d time.Duration) { f.scope.Timer(name).Record(d) }
 
 // Set sets the gauge of the given name.
-func (f *Figures) Set(name string, v float64) { f.scope.Gauge(name).Update(v) }
+func (f *Recorder) Set(name string, v float64) { f.scope.Gauge(name).Update(v) }
 
 // Close reports what is pending and stops the reporting.
-func (f *Figures) Close() error { return f.closer.Close() }
+func (f *Recorder) Close() error { return f.closer.Close() }
 
 // ReportCounter adds the increment of a counter since the last report; called by tally.
-func (f *Figures) ReportCounter(name string, _ map[string]string, value int64) {
+func (f *Recorder) ReportCounter(name string, _ map[string]string, value int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts[name] += value
 }
 
 // ReportGauge stores the value of a gauge; called by tally.
-func (f *Figures) ReportGauge(name string, _ map[string]string, value float64) {
+func (f *Recorder) ReportGauge(name string, _ map[string]string, value float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gauges[name] = value
 }
 
 // ReportTimer records a duration in both histograms of its name; called by tally.
-func (f *Figures) ReportTimer(name string, _ map[string]string, d time.Duration) {
+func (f *Recorder) ReportTimer(name string, _ map[string]string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, byName := range []map[string]*hdrhistogram.Histogram{f.total, f.recent} {
@@ -92,25 +92,25 @@
 }
 
 // ReportHistogramValueSamples does nothing: no tally histograms are used, ReportTimer builds its own.
-func (f *Figures) ReportHistogramValueSamples(string, map[string]string, tally.Buckets, float64, float64, int64) {
+func (f *Recorder) ReportHistogramValueSamples(string, map[string]string, tally.Buckets, float64, float64, int64) {
 }
 
 // ReportHistogramDurationSamples does nothing: no tally histograms are used, ReportTimer builds its own.
-func (f *Figures) ReportHistogramDurationSamples(string, map[string]string, tally.Buckets, time.Duration, time.Duration, int64) {
+func (f *Recorder) ReportHistogramDurationSamples(string, map[string]string, tally.Buckets, time.Duration, time.Duration, int64) {
 }
 
-// Capabilities tells tally that Figures accepts reports without tags.
-func (f *Figures) Capabilities() tally.Capabilities { return f }
+// Capabilities tells tally that Recorder accepts reports without tags.
+func (f *Recorder) Capabilities() tally.Capabilities { return f }
 
-// Reporting returns true: Figures accepts reports.
-func (f *Figures) Reporting() bool { return true }
+// Reporting returns true: Recorder accepts reports.
+func (f *Recorder) Reporting() bool { return true }
 
 // Tagging returns false: the tags of metrics are ignored.
-func (f *Figures) Tagging() bool { return false }
+func (f *Recorder) Tagging() bool { return false }
 
 // Flush logs latencies and counters if logInterval has passed since the last log line; tally calls it after each report.
 // Latencies are those since the last line, as COUNT:P50/P95/MAX in milliseconds; counters are sums since the start.
-func (f *Figures) Flush() {
+func (f *Recorder) Flush() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -136,7 +136,7 @@
 func toMillis(micros int64) float64 { return float64(micros) / 1000 }
 
 // Write writes all metrics since the start in the Prometheus text format, durations in seconds.
-func (f *Figures) Write(w io.Writer) (err error) {
+func (f *Recorder) Write(w io.Writer) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(f.counts)) {
--- a/internal/peer/hginner/message.go
+++ b/internal/peer/hginner/message.go
@@ -16,7 +16,7 @@
 // Beat is a heartbeat, sent both as a request and as its reply. Of two nodes, the one whose name sorts first sends the request.
 type Beat struct {
 	hgmember.Heartbeat
-	Preset hgpreset.Peer
+	Preset hgpreset.PeerStatus
 	// Stamp is the sender's monotonic time, which the receiver sends back as Echo; it means nothing to other nodes.
 	Stamp time.Duration
 	// Echo is the last Stamp that the sender got from the receiver, and EchoRun the run of the receiver that set it. The
--- a/internal/peer/hgnode/cell.go
+++ b/internal/peer/hgnode/cell.go
@@ -62,7 +62,7 @@
 		return m, err == nil
 	})
 	n.mu.Lock()
-	n.view.Registered(members, n.now())
+	n.view.SetRegistered(members, n.now())
 	n.dropSilentSources()
 	liveNodes := len(n.view.Live(n.now())) + 1
 	n.mu.Unlock()
@@ -85,7 +85,7 @@
 	defer n.mu.Unlock()
 	n.polls++
 	now := n.now()
-	settled := len(n.view.Silent(now)) == 0 && len(n.view.Takers(false, now)) == len(n.view.Peers())+1
+	settled := len(n.view.Silent(now)) == 0 && len(n.view.EligibleOwners(false, now)) == len(n.view.Peers())+1
 	for s := range uint32(n.cfg.Node.Shards) {
 		settled = settled && n.owners[s].id != ""
 	}
@@ -129,13 +129,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
-		n.gate.StoreFailed()
+		n.gate.RecordReadFailure()
 		return
 	}
-	if n.gate.StoreRead(v, readAt) {
+	if n.gate.RecordRead(v, readAt) {
 		n.applyPreset(v)
 	}
-	n.gate.Members(lo.Map(n.view.Peers(), func(m hgmember.Member, _ int) string { return m.ID }))
+	n.gate.SetMembers(lo.Map(n.view.Peers(), func(m hgmember.Member, _ int) string { return m.ID }))
 }
 
 // applyPreset passes the weights and limits of a preset to the scheduler and the shards' owner. n.mu must be held.
@@ -150,7 +150,7 @@
 	now := n.now()
 	return hginner.Beat{
 		Heartbeat: hgmember.Heartbeat{ID: n.cfg.Node.ID, Run: n.run, Draining: n.draining, Silent: n.view.Silent(now)},
-		Preset:    hgpreset.Peer{Number: n.gate.Applied().Number, Age: n.gate.Age(now), StoreFailing: n.gate.StoreFailing()},
+		Preset:    hgpreset.PeerStatus{Number: n.gate.Applied().Number, Age: n.gate.Age(now), StoreFailing: n.gate.StoreFailing()},
 		Stamp:     now,
 		Echo:      n.peerStamps[to].stamp,
 		EchoRun:   n.peerStamps[to].run,
@@ -169,20 +169,20 @@
 
 // applyHeartbeat processes a peer's heartbeat and reports whether the peer applies a newer preset. n.mu must be held.
 func (n *Node) applyHeartbeat(b hginner.Beat) (behind bool) {
-	n.view.Heard(b.Heartbeat, n.now())
+	n.view.RecordHeartbeat(b.Heartbeat, n.now())
 	n.peerStamps[b.ID] = peerStamp{run: b.Run, stamp: b.Stamp}
 	for s, epoch := range b.Shards {
 		n.learnOwner(s, b.ID, epoch)
 	}
 	n.setLeaving(b.ID, lo.SliceToMap(b.Leaving, func(id string) (string, bool) { return id, true }))
 	if calls, held, ok := b.Loads.Maps(n.endpointIDs); ok {
-		n.sched.PeerLoads(b.ID, calls, held)
+		n.sched.SetPeerLoads(b.ID, calls, held)
 	}
-	n.owner.Merge(b.Suspects)
+	n.owner.MergeSuspects(b.Suspects)
 	if b.EchoRun != n.run {
 		return b.Preset.Number > n.gate.Applied().Number
 	}
-	return n.gate.PeerSaid(b.ID, b.Preset, b.Echo)
+	return n.gate.RecordPeer(b.ID, b.Preset, b.Echo)
 }
 
 // exchangeHeartbeats starts one exchange with each peer whose name sorts after this node's and that has none in flight; the
@@ -314,7 +314,7 @@
 // those that may own shards.
 func (n *Node) collectGarbage() {
 	n.mu.Lock()
-	takers := n.view.Takers(n.draining, n.now())
+	takers := n.view.EligibleOwners(n.draining, n.now())
 	n.mu.Unlock()
 	first := lo.MinBy(takers, func(a, b hgmember.Member) bool { return a.ID < b.ID })
 	if first.ID != n.cfg.Node.ID {
--- a/internal/peer/hgnode/endpoint.go
+++ b/internal/peer/hgnode/endpoint.go
@@ -53,7 +53,7 @@
 
 // watchedEndpoints returns the endpoints whose load reports this node reads. n.mu must be held.
 func (n *Node) watchedEndpoints() []string {
-	takers := n.view.Takers(n.draining, n.now())
+	takers := n.view.EligibleOwners(n.draining, n.now())
 	return lo.FilterMap(n.cfg.Endpoint, func(e hgconfig.Endpoint, _ int) (string, bool) {
 		return e.ID, n.isWatcher(e.ID, takers)
 	})
@@ -72,7 +72,7 @@
 // list drops its earlier result instead.
 func (n *Node) readVMList(ctx context.Context) {
 	n.mu.Lock()
-	mine := n.isWatcher(vmListKey, n.view.Takers(n.draining, n.now()))
+	mine := n.isWatcher(vmListKey, n.view.EligibleOwners(n.draining, n.now()))
 	if !mine {
 		delete(n.leavingBySource, sourceList)
 	}
--- a/internal/peer/hgnode/node.go
+++ b/internal/peer/hgnode/node.go
@@ -69,7 +69,7 @@
 	view              *hgmember.View
 	gate              *hgpreset.Gate
 	planner           *hgshard.Planner
-	rows              []hgjournal.SeenRow
+	rows              []hgjournal.VersionedRow
 	owners            map[uint32]shardOwner
 	heartbeatInFlight map[string]bool
 	// peerStamps holds each peer's last stamp, which this node's heartbeats send back to the peer.
@@ -113,11 +113,11 @@
 	first := do.MustInvoke[hgpreset.Version](i)
 	l := cfg.Limits
 	n.view = hgmember.NewView(n.self(), hgmember.Limits{
-		Silent: hgconfig.MS(l.SilentMs), Stale: hgconfig.MS(l.StaleMs), Gone: goneFactor * hgconfig.MS(l.StaleMs),
+		Silent: hgconfig.Milliseconds(l.SilentMs), Stale: hgconfig.Milliseconds(l.StaleMs), Gone: goneFactor * hgconfig.Milliseconds(l.StaleMs),
 	})
 	n.turns = newTurns(n.timer)
-	n.gate = hgpreset.NewGate(first, hgconfig.MS(l.PresetBoundMs))
-	n.planner = hgshard.NewPlanner(settleHeartbeats * hgconfig.MS(l.HeartbeatMs))
+	n.gate = hgpreset.NewGate(first, hgconfig.Milliseconds(l.PresetBoundMs))
+	n.planner = hgshard.NewPlanner(settleHeartbeats * hgconfig.Milliseconds(l.HeartbeatMs))
 	n.owner = hgowner.NewOwner(n.ownerConfig(first))
 	n.committer = hgjournal.NewCommitter(n.store, n.run, n.owner,
 		hgjournal.WithRate(float64(cfg.Platform.CommitsPerSecond)),
@@ -125,7 +125,7 @@
 	n.owner.SetJournal(n.committer)
 	keys := do.MustInvoke[Keys](i)
 	n.front = hgfront.NewFront(n, hgfront.Options{
-		MaxBody: int64(l.MaxBodyBytes), Metrics: n.metrics.Handler(), Version: do.MustInvoke[Release](i).Version, OperatorKey: keys.Operator,
+		MaxBody: int64(l.MaxBodyBytes), Metrics: n.metrics.Handler(), Version: do.MustInvoke[BuildInfo](i).Version, OperatorKey: keys.Operator,
 	})
 	if keys.Operator == "" {
 		n.log.Warn("operators' routes are open to all callers, because the settings name no operators' key")
@@ -170,8 +170,8 @@
 	return hgowner.Config{
 		Node: n.cfg.Node.ID, Run: n.run, Shards: uint32(n.cfg.Node.Shards),
 		Limits: hgowner.Limits{
-			DispatchWindow: hgconfig.MS(l.DispatchWindowMs), Hold: hgconfig.MS(l.HoldMs),
-			CommitWait: hgconfig.MS(l.CommitWaitMs), Retain: hgconfig.MS(l.RetainMs),
+			DispatchWindow: hgconfig.Milliseconds(l.DispatchWindowMs), Hold: hgconfig.Milliseconds(l.HoldMs),
+			CommitWait: hgconfig.Milliseconds(l.CommitWaitMs), Retain: hgconfig.Milliseconds(l.RetainMs),
 		},
 		Store: n.store, Scheduler: n.sched, Endpoints: n.endpoints, Targets: targets, Fencing: fencing, Sharer: (*peerHandler)(n), Turns: (*peerHandler)(n),
 		Dead: func(id, run string) bool {
@@ -215,20 +215,20 @@
 // schedule registers the periodic tasks with the timer service, and registers the node and polls once at once.
 func (n *Node) schedule() {
 	l := n.cfg.Limits
-	poll := hgconfig.MS(l.PollMs)
+	poll := hgconfig.Milliseconds(l.PollMs)
 	n.wg.Go(n.register)
 	n.wg.Go(n.poll)
-	n.timer.Every(hgconfig.MS(l.StaleMs)/3, func(time.Duration) { n.register() })
+	n.timer.Every(hgconfig.Milliseconds(l.StaleMs)/3, func(time.Duration) { n.register() })
 	n.timer.Every(poll, func(time.Duration) { n.poll() })
-	n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.exchangeHeartbeats() })
-	n.timer.After(startupHeartbeats*hgconfig.MS(l.HeartbeatMs), func(time.Duration) {
-		n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.plan() })
+	n.timer.Every(hgconfig.Milliseconds(l.HeartbeatMs), func(time.Duration) { n.exchangeHeartbeats() })
+	n.timer.After(startupHeartbeats*hgconfig.Milliseconds(l.HeartbeatMs), func(time.Duration) {
+		n.timer.Every(hgconfig.Milliseconds(l.HeartbeatMs), func(time.Duration) { n.plan() })
 	})
-	n.timer.Every(hgconfig.MS(l.SweepMs), func(time.Duration) {
+	n.timer.Every(hgconfig.Milliseconds(l.SweepMs), func(time.Duration) {
 		n.owner.Tick()
 		n.sweep()
 	})
-	n.timer.Every(hgconfig.MS(l.HeartbeatMs), func(time.Duration) { n.watchEndpoints() })
+	n.timer.Every(hgconfig.Milliseconds(l.HeartbeatMs), func(time.Duration) { n.watchEndpoints() })
 	n.timer.Every(collectInterval, func(time.Duration) { n.collectGarbage() })
 	n.timer.Every(time.Second, func(time.Duration) {
 		n.turns.tick()
--- a/internal/peer/hgnode/operate.go
+++ b/internal/peer/hgnode/operate.go
@@ -23,7 +23,7 @@
 func (n *Node) Locate(program string) hgfront.Location {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	members := n.view.Takers(n.draining, n.now())
+	members := n.view.EligibleOwners(n.draining, n.now())
 	owner := ""
 	if program != "" {
 		owner = n.owners[hgshard.Of(program, uint32(n.cfg.Node.Shards))].id
@@ -48,7 +48,7 @@
 func (n *Node) members() []hgfront.MemberStatus {
 	now := n.now()
 	live := lo.SliceToMap(n.view.Live(now), func(m hgmember.Member) (string, bool) { return m.ID, true })
-	takers := lo.SliceToMap(n.view.Takers(n.draining, now), func(m hgmember.Member) (string, bool) { return m.ID, true })
+	takers := lo.SliceToMap(n.view.EligibleOwners(n.draining, now), func(m hgmember.Member) (string, bool) { return m.ID, true })
 	list := []hgfront.MemberStatus{{
 		ID: n.cfg.Node.ID, Domain: n.cfg.Node.Domain, Public: n.cfg.Node.Public, Live: true, Draining: n.draining,
 		PresetVersion: n.gate.Applied().Number,
@@ -56,7 +56,7 @@
 	for _, m := range n.view.Peers() {
 		list = append(list, hgfront.MemberStatus{
 			ID: m.ID, Domain: m.Domain, Public: m.Public, Live: live[m.ID], Draining: live[m.ID] && !takers[m.ID],
-			PresetVersion: n.gate.PeerNumber(m.ID),
+			PresetVersion: n.gate.PeerVersion(m.ID),
 		})
 	}
 	return list
@@ -120,7 +120,7 @@
 	initial := hgpreset.Version{Preset: n.gate.Applied().Preset}
 	n.mu.Unlock()
 	v, err = hgpreset.Choose(ctx, n.store, initial, p, by)
-	var conflict *hgpreset.Taken
+	var conflict *hgpreset.ConflictError
 	if errors.As(err, &conflict) {
 		return v, &hgfront.PresetConflict{Current: conflict.Winner}
 	}
@@ -163,7 +163,7 @@
 		return err
 	}
 	select {
-	case <-time.After(hgconfig.MS(n.cfg.Limits.LocateTTLMs)):
+	case <-time.After(hgconfig.Milliseconds(n.cfg.Limits.LocateTTLMs)):
 	case <-ctx.Done():
 	}
 	if err := n.public.Shutdown(ctx); err != nil {
@@ -220,8 +220,8 @@
 	}
 }
 
-// Owned returns the number of shards that the node owns.
-func (n *Node) Owned() int { return len(n.owner.Epochs()) }
+// OwnedShards returns the number of shards that the node owns.
+func (n *Node) OwnedShards() int { return len(n.owner.Epochs()) }
 
 // Running returns the number of calls in progress.
 func (n *Node) Running() int { return n.owner.Running() }
--- a/internal/peer/hgnode/peer.go
+++ b/internal/peer/hgnode/peer.go
@@ -41,7 +41,7 @@
 	if !s.Cleared {
 		p.turns.refute(hgquarantine.KeyOf(s.Digest))
 	}
-	p.owner.Merge([]hgquarantine.Suspect{s})
+	p.owner.MergeSuspects([]hgquarantine.Suspect{s})
 }
 
 // Nudge reads the shard rows and plans again.
--- a/internal/peer/hgnode/turn.go
+++ b/internal/peer/hgnode/turn.go
@@ -20,11 +20,11 @@
 	timer hgtimer.Timer
 
 	mu    sync.Mutex
-	state *hgquarantine.Turns
+	state *hgquarantine.Serializer
 }
 
 func newTurns(timer hgtimer.Timer) *turns {
-	return &turns{timer: timer, state: hgquarantine.NewTurns()}
+	return &turns{timer: timer, state: hgquarantine.NewSerializer()}
 }
 
 func (t *turns) enter(k hgquarantine.Key, h hgquarantine.Holder) (ok bool) {
--- a/internal/peer/hgnode/wire.go
+++ b/internal/peer/hgnode/wire.go
@@ -34,12 +34,12 @@
 	return k, err
 }
 
-// Release identifies the build that runs, for the OpenAPI page.
-type Release struct{ Version string }
+// BuildInfo identifies the build that runs, for the OpenAPI page.
+type BuildInfo struct{ Version string }
 
-// Wire returns an injector with the services of a node. Before the node is made, tests may override services, or provide a
+// NewInjector returns an injector with the services of a node. Before the node is made, tests may override services, or provide a
 // hginner.Dial by which the node then connects to its peers.
-func Wire(cfg hgconfig.Config, keys Keys, log *slog.Logger, rel Release) *do.RootScope {
+func NewInjector(cfg hgconfig.Config, keys Keys, log *slog.Logger, rel BuildInfo) *do.RootScope {
 	i := do.New()
 	do.ProvideValue(i, cfg)
 	do.ProvideValue(i, keys)
@@ -62,8 +62,8 @@
 
 func newStore(i do.Injector) (hgstore.Store, error) {
 	cfg := do.MustInvoke[hgconfig.Config](i)
-	store := hgplatform.NewStore(cfg.Platform.Address, hgconfig.MS(cfg.Platform.TimeoutMs), nil)
-	return hgstore.Within(store, storePrefix), nil
+	store := hgplatform.NewStore(cfg.Platform.Address, hgconfig.Milliseconds(cfg.Platform.TimeoutMs), nil)
+	return hgstore.WithPrefix(store, storePrefix), nil
 }
 
 func newEndpoints(i do.Injector) (map[string]hgendpoint.Endpoint, error) {
@@ -85,7 +85,7 @@
 
 func newClient(i do.Injector) (*hginner.Client, error) {
 	cfg := do.MustInvoke[hgconfig.Config](i)
-	timeout := hgconfig.MS(cfg.Limits.SilentMs) / 2
+	timeout := hgconfig.Milliseconds(cfg.Limits.SilentMs) / 2
 	dial, _ := do.Invoke[hginner.Dial](i)
 	return hginner.NewClient(do.MustInvoke[Keys](i).Cell, do.MustInvoke[*hgtimer.Service](i), timeout, dial), nil
 }
--- a/internal/peer/hgpeer/backup.go
+++ b/internal/peer/hgpeer/backup.go
@@ -34,29 +34,29 @@
 // peers, and the lack of a majority.
 func (b *Backup) Ask(ctx context.Context, q hgledger.SoleRequest) (a hgledger.Answers) {
 	if b.members.Age() < discoveryTime {
-		a.None++
+		a.Unanswered++
 	}
-	a.None += b.members.UnreachableDomains()
+	a.Unanswered += b.members.UnreachableDomains()
 	answers := callAll(b.members.PossibleParticipants(), func(p Info) (hgledger.SoleReply, error) { return b.client.Part(ctx, p.Peer, q) })
 	for _, answer := range answers {
 		if answer.err != nil {
-			a.None++
+			a.Unanswered++
 		} else {
 			a.Add(answer.reply)
 		}
 	}
-	if !b.members.IsMajority(a.Sole + a.Part) {
-		a.None++
+	if !b.members.IsMajority(a.Sole + a.Holding) {
+		a.Unanswered++
 	}
 	return a
 }
 
-// IsApart reports whether this node reaches no majority of the nodes, as on the minority side of a network partition.
-func (b *Backup) IsApart() bool { return b.members.IsApart() }
+// LacksMajority reports whether this node reaches no majority of the nodes, as on the minority side of a network partition.
+func (b *Backup) LacksMajority() bool { return b.members.LacksMajority() }
 
-// Troubled reports whether this node or a peer has recently lost the store, or has taken tokens that are not yet in a row.
+// RowsMayBeStale reports whether this node or a peer has recently lost the store, or has taken tokens that are not yet in a row.
 // Rows may then understate what was taken.
-func (b *Backup) Troubled() bool { return b.members.Troubled() }
+func (b *Backup) RowsMayBeStale() bool { return b.members.RowsMayBeStale() }
 
 // Copy sends c to up to maxCopies live peers and returns how many of them hold it. Peers of this failure domain come
 // first, because one of them owns the program if this node fails.
--- a/internal/peer/hgpeer/claim.go
+++ b/internal/peer/hgpeer/claim.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// AskOf returns the query to send with a heartbeat to a peer.
-func (m *Members) AskOf(peer Info) (q GossipQuery) {
+// GossipQueryFor returns the query to send with a heartbeat to a peer.
+func (m *Members) GossipQueryFor(peer Info) (q GossipQuery) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s, ok := m.sources[peer.Name]; ok {
@@ -132,10 +132,10 @@
 	return q
 }
 
-// Answer takes a heartbeat from a peer and returns the update for it, or nil if the heartbeat asks for a sign of life only. On
+// HandleHeartbeat takes a heartbeat from a peer and returns the update for it, or nil if the heartbeat asks for a sign of life only. On
 // a small site, where all nodes exchange heartbeats, the update is nil, and the heartbeat does not make the peer live: its reply
 // to a heartbeat of this node does.
-func (m *Members) Answer(b Beat) *GossipUpdate {
+func (m *Members) HandleHeartbeat(b Beat) *GossipUpdate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isLarge() {
--- a/internal/peer/hgpeer/fleet_test.go
+++ b/internal/peer/hgpeer/fleet_test.go
@@ -63,7 +63,7 @@
 	all := lo.Uniq(lo.Map(infos, func(i hgpeer.Info, _ int) string { return i.Domain }))
 	for _, in := range infos {
 		m := hgpeer.NewMembers(f.clock, in, all...)
-		m.SetNamed(infos)
+		m.SetRegistered(infos)
 		f.names = append(f.names, in.Name)
 		f.nodes[in.Name] = m
 		f.suspects[in.Name] = hgsuspect.NewList(f.clock, hglog.Discard())
@@ -80,12 +80,12 @@
 			if f.down[name] || f.clock.now < f.nextBeat[name] {
 				continue
 			}
-			f.nextBeat[name] = f.clock.now + f.nodes[name].Pace()
+			f.nextBeat[name] = f.clock.now + f.nodes[name].HeartbeatPeriod()
 			f.nodes[name].SetInFlight(f.inFlight)
 			local, remote := f.nodes[name].Targets(f.round[name])
 			f.round[name]++
 			f.remoteBeats += len(remote)
-			programs := f.nodes[name].TakeUntold()
+			programs := f.nodes[name].TakeUnannounced()
 			for _, p := range local {
 				f.beat(name, p, programs)
 			}
@@ -99,17 +99,17 @@
 // beat sends a heartbeat from a node and delivers the reply to it.
 func (f *fleet) beat(name string, to hgpeer.Info, programs []uint64) {
 	m := f.nodes[name]
-	b := hgpeer.Beat{Info: m.Self(), InFlight: f.inFlight, Programs: programs, Ask: m.AskOf(to), Suspects: f.suspects[name].Offer(to.Name)}
+	b := hgpeer.Beat{Info: m.Self(), InFlight: f.inFlight, Programs: programs, Ask: m.GossipQueryFor(to), Suspects: f.suspects[name].Offer(to.Name)}
 	f.sent[name]++
 	if f.down[to.Name] {
-		m.Failed(to.Name)
+		m.HeartbeatFailed(to.Name)
 		return
 	}
 	if f.random.Float64() < f.loss {
 		return
 	}
 	peer := f.nodes[to.Name]
-	reply := hgpeer.Beat{Info: peer.Self(), InFlight: f.inFlight, News: peer.Answer(b), Suspects: f.suspects[to.Name].Answer(name, b.Suspects)}
+	reply := hgpeer.Beat{Info: peer.Self(), InFlight: f.inFlight, News: peer.HandleHeartbeat(b), Suspects: f.suspects[to.Name].HandleOffer(name, b.Suspects)}
 	f.handled[to.Name]++
 	if f.countBytes {
 		size := f.size(b) + f.size(reply)
@@ -117,8 +117,8 @@
 		f.bytes[to.Name] += size
 	}
 	if f.random.Float64() >= f.loss {
-		m.Heard(reply)
-		f.suspects[name].Take(to.Name, reply.Suspects)
+		m.HandleReply(reply)
+		f.suspects[name].HandleAnswer(to.Name, reply.Suspects)
 	}
 }
 
@@ -282,12 +282,12 @@
 	f := newFleet(48, 3)
 	f.converge(10 * time.Second)
 	announcer := f.names[40]
-	f.nodes[announcer].TellPrograms([]uint64{9})
+	f.nodes[announcer].AnnouncePrograms([]uint64{9})
 	f.run(4 * time.Second)
 	for _, name := range f.names {
 		local := f.nodes[name].Self().Domain == f.nodes[announcer].Self().Domain
 		want := lo.Ternary(name != announcer && local, []uint64{9}, nil)
-		if diff := cmp.Diff(want, f.nodes[name].TakeUnused()); diff != "" {
+		if diff := cmp.Diff(want, f.nodes[name].TakeReceived()); diff != "" {
 			t.Errorf("%s received programs (-want +got):\n%s", name, diff)
 		}
 	}
@@ -311,12 +311,12 @@
 			f.down[absent] = true
 			for i := range 3 {
 				observer := f.suspects[f.names[i*tc.size/4]]
-				observer.Broke(request(crashing))
-				observer.Broke(request(harmless))
+				observer.RecordCrash(request(crashing))
+				observer.RecordCrash(request(harmless))
 			}
-			f.suspects[f.names[1]].Ended(request(harmless))
+			f.suspects[f.names[1]].RecordCompletion(request(harmless))
 			f.run(4 * time.Second)
-			f.suspects[f.names[tc.size-1]].Ended(request(harmless))
+			f.suspects[f.names[tc.size-1]].RecordCompletion(request(harmless))
 			delete(f.down, absent)
 			f.suspects[restarted] = hgsuspect.NewList(f.clock, hglog.Discard())
 			f.run(4 * time.Second)
@@ -342,7 +342,7 @@
 		f.down[name] = true
 	}
 	for _, name := range left {
-		f.nodes[name].SetNamed(lo.Map(left, func(n string, _ int) hgpeer.Info { return f.nodes[n].Self() }))
+		f.nodes[name].SetRegistered(lo.Map(left, func(n string, _ int) hgpeer.Info { return f.nodes[n].Self() }))
 	}
 	f.run(70 * time.Second)
 	for _, name := range left {
--- a/internal/peer/hgpeer/hub.go
+++ b/internal/peer/hgpeer/hub.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Failed records that a heartbeat to a peer failed with an error.
-func (m *Members) Failed(name string) {
+// HeartbeatFailed records that a heartbeat to a peer failed with an error.
+func (m *Members) HeartbeatFailed(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p, ok := m.members[name]; ok {
@@ -166,7 +166,7 @@
 	}
 	v := m.currentView()
 	local := lo.Filter(append(slices.Clone(v.live), m.self), func(i Info, _ int) bool { return i.Domain == m.self.Domain && !i.Stopping })
-	if lo.ContainsBy(Strong(local), func(i Info) bool { return i.Name == m.self.Name }) {
+	if lo.ContainsBy(ServingNodes(local), func(i Info) bool { return i.Name == m.self.Name }) {
 		return false
 	}
 	now := m.timer.Now()
--- a/internal/peer/hgpeer/members.go
+++ b/internal/peer/hgpeer/members.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Troubled reports whether this node or a peer has been without the store, or has taken tokens that are not in a row, within
+// RowsMayBeStale reports whether this node or a peer has been without the store, or has taken tokens that are not in a row, within
 // staleRowsTime.
-func (m *Members) Troubled() bool {
+func (m *Members) RowsMayBeStale() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	// On a large site updates hold changes only, so the last known Info of each live peer is evaluated here again.
@@ -153,8 +153,8 @@
 	return m.lastOutage > 0 && m.timer.Now()-m.lastOutage < staleRowsTime
 }
 
-// SetNamed sets the nodes that have a row in the store. A row alone does not make a node live.
-func (m *Members) SetNamed(nodes []Info) {
+// SetRegistered sets the nodes that have a row in the store. A row alone does not make a node live.
+func (m *Members) SetRegistered(nodes []Info) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.registered = map[string]bool{}
@@ -202,8 +202,8 @@
 	return i.Revision >= o.Revision
 }
 
-// Heard records the reply of a peer to a heartbeat of this node, and applies the update in it.
-func (m *Members) Heard(b Beat) {
+// HandleReply records the reply of a peer to a heartbeat of this node, and applies the update in it.
+func (m *Members) HandleReply(b Beat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.recordHeartbeat(b); p != nil && b.News != nil {
@@ -263,8 +263,8 @@
 	return live
 }
 
-// Pace returns the present heartbeat period: the time between two heartbeats to a peer of this failure domain.
-func (m *Members) Pace() (period time.Duration) {
+// HeartbeatPeriod returns the present heartbeat period: the time between two heartbeats to a peer of this failure domain.
+func (m *Members) HeartbeatPeriod() (period time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.period()
@@ -361,8 +361,8 @@
 	return 2*(peers+1) > known+1
 }
 
-// IsApart reports whether this node and its live peers are no majority, so that the other nodes may treat it as gone.
-func (m *Members) IsApart() bool {
+// LacksMajority reports whether this node and its live peers are no majority, so that the other nodes may treat it as gone.
+func (m *Members) LacksMajority() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.isMajority(len(m.live()))
--- a/internal/peer/hgpeer/members_test.go
+++ b/internal/peer/hgpeer/members_test.go
@@ -43,7 +43,7 @@
 func TestMembers(t *testing.T) {
 	c := &clock{now: time.Minute}
 	m := hgpeer.NewMembers(c, info("a", "north"))
-	m.SetNamed([]hgpeer.Info{info("b", "north"), info("c", "south")})
+	m.SetRegistered([]hgpeer.Info{info("b", "north"), info("c", "south")})
 	steps := []struct {
 		name               string
 		at                 time.Duration
@@ -52,16 +52,16 @@
 	}{
 		{"only named", 0, func() {}, []string{}, []string{"b", "c"}},
 		{"both answer", 100 * time.Millisecond, func() {
-			m.Heard(hgpeer.Beat{Info: info("b", "north")})
-			m.Heard(hgpeer.Beat{Info: info("c", "south")})
+			m.HandleReply(hgpeer.Beat{Info: info("b", "north")})
+			m.HandleReply(hgpeer.Beat{Info: info("c", "south")})
 		}, []string{"b", "c"}, []string{"b", "c"}},
 		{"suspected", 200 * time.Millisecond, func() { m.Suspect("b") }, []string{"c"}, []string{"b", "c"}},
 		{"near one silent", 1500 * time.Millisecond, func() {}, []string{"c"}, []string{"b", "c"}},
 		{"both silent, as in a cut", 4 * time.Second, func() {}, []string{}, []string{"b", "c"}},
-		{"restarted", 4200 * time.Millisecond, func() { m.Heard(hgpeer.Beat{Info: info("b", "north")}) }, []string{"b"}, []string{"b", "c"}},
+		{"restarted", 4200 * time.Millisecond, func() { m.HandleReply(hgpeer.Beat{Info: info("b", "north")}) }, []string{"b"}, []string{"b", "c"}},
 		{"one stops", 4400 * time.Millisecond, func() {
-			m.Heard(hgpeer.Beat{Info: stopped("b", "north")})
-			m.Heard(hgpeer.Beat{Info: info("c", "south")})
+			m.HandleReply(hgpeer.Beat{Info: stopped("b", "north")})
+			m.HandleReply(hgpeer.Beat{Info: info("c", "south")})
 		}, []string{"b", "c"}, []string{"b", "c"}},
 		{"it has stopped, the other one is silent", 7500 * time.Millisecond, func() {}, []string{}, []string{"c"}},
 		{"silent for long", 20 * time.Second, func() {}, []string{}, []string{}},
@@ -105,7 +105,7 @@
 					m := hgpeer.NewMembers(&clock{now: time.Minute}, tt.change(self))
 					for _, other := range nodes {
 						if other.Name != self.Name {
-							m.Heard(hgpeer.Beat{Info: tt.change(other)})
+							m.HandleReply(hgpeer.Beat{Info: tt.change(other)})
 						}
 					}
 					owner, isSelf, offline := m.Owner(program)
@@ -151,7 +151,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := hgpeer.NewMembers(&clock{now: time.Minute}, tt.change(info("a", "north")))
-			m.Heard(hgpeer.Beat{Info: info("b", "north")})
+			m.HandleReply(hgpeer.Beat{Info: info("b", "north")})
 			disconnected := 0
 			for i := range 50 {
 				owner, self, ok := m.DisconnectedOwner(string(rune('A' + i)))
@@ -192,14 +192,14 @@
 				in := info(fmt.Sprint("peer", i), "north")
 				switch {
 				case i < tc.heard:
-					m.Heard(hgpeer.Beat{Info: in})
+					m.HandleReply(hgpeer.Beat{Info: in})
 				case i < tc.heard+tc.silent:
-					m.SetNamed([]hgpeer.Info{in})
+					m.SetRegistered([]hgpeer.Info{in})
 				default:
-					m.SetNamed([]hgpeer.Info{stopped(in.Name, in.Domain)})
+					m.SetRegistered([]hgpeer.Info{stopped(in.Name, in.Domain)})
 				}
 			}
-			if apart := m.IsApart(); apart != tc.apart {
+			if apart := m.LacksMajority(); apart != tc.apart {
 				t.Errorf("apart %v, want %v", apart, tc.apart)
 			}
 			if m.IsMajority(tc.heard) == tc.apart {
--- a/internal/peer/hgpeer/message.go
+++ b/internal/peer/hgpeer/message.go
@@ -42,7 +42,7 @@
 	// within the failure domain only.
 	Programs []uint64
 	// Leaving are the runs of replicas that have announced that they leave but are still registered as ready.
-	Leaving []hgreplica.Lifetime
+	Leaving []hgreplica.Incarnation
 	// Suspects synchronizes the lists of requests that crash replicas.
 	Suspects hgsuspect.Exchange
 	// Ask says what the reply to a heartbeat is to contain, and News is that part of the reply. News is nil on small sites.
@@ -68,7 +68,7 @@
 	// Beat records a heartbeat and returns the reply.
 	Beat(b Beat) Beat
 	// Table returns this node's copy of a watched table; an empty one if the table is not watched.
-	Table(q TableRequest) hgfeed.Copy
+	Table(q TableRequest) hgfeed.Snapshot
 	// Open and Close open and settle a turn of a program for a peer.
 	Open(q hgledger.OpenRequest) hgledger.OpenReply
 	Close(q hgledger.CloseRequest) error
@@ -79,7 +79,7 @@
 	// Seen returns the programs that this node knows.
 	Seen() SeenReply
 	// Place reserves a place on a replica for a request of a peer, and Leave releases it.
-	Place(a hgplacer.Ask) PlaceReply
+	Place(a hgplacer.PlaceRequest) PlaceReply
 	Leave(q LeaveRequest)
 }
 
@@ -89,7 +89,7 @@
 	// Replica is the replica to send the request to, and FetchFrom the one to fetch cached tokens from, or empty.
 	Replica, FetchFrom string
 	// Why holds the figures that decided for the replica.
-	Why hgreplica.Why
+	Why hgreplica.Decision
 	// Load is the load of the service as the placer sees it, as a multiple of its slots.
 	Load float64
 }
--- a/internal/peer/hgpeer/owner.go
+++ b/internal/peer/hgpeer/owner.go
@@ -50,7 +50,7 @@
 // one.
 func rendezvous(nodes []Info, program string) (owner Info) {
 	var most uint64
-	for _, i := range Strong(nodes) {
+	for _, i := range ServingNodes(nodes) {
 		if h := xxhash.Sum64String(i.Name + "\x00" + program); h >= most {
 			owner, most = i, h
 		}
--- a/internal/peer/hgpeer/places.go
+++ b/internal/peer/hgpeer/places.go
@@ -46,7 +46,7 @@
 const replyMargin = 300 * time.Millisecond
 
 // Take waits for a place on a replica. The lease is nil if the verdict is not hgplacer.Granted.
-func (p *Places) Take(ctx context.Context, a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict) {
+func (p *Places) Take(ctx context.Context, a hgplacer.PlaceRequest) (l *hgreplica.Lease, v hgplacer.Verdict) {
 	// Callers choose the identifiers of their requests and may use one twice, but the placer needs unique ones.
 	a.ID = fmt.Sprintf("%s/%s/%d", a.ID, p.members.Self().Boot, p.sequence.Add(1))
 	placer, self := p.members.Placer()
@@ -83,7 +83,7 @@
 const placerSilence = 100 * time.Millisecond
 
 // ask requests a place from the placer, and gives up when the placer has answered no request for placerSilence.
-func (p *Places) ask(ctx context.Context, placer Info, a hgplacer.Ask) (reply PlaceReply, err error) {
+func (p *Places) ask(ctx context.Context, placer Info, a hgplacer.PlaceRequest) (reply PlaceReply, err error) {
 	began := p.members.Age()
 	policy := waitPolicy{timeout: a.Wait + replyMargin, checkInterval: placerSilence, isSilent: func() bool { return p.silentFor(placer.Name, began) >= placerSilence }}
 	reply, err = await(ctx, p.members, placer, policy, func(ctx context.Context) (PlaceReply, error) {
@@ -110,7 +110,7 @@
 }
 
 // pickLocally selects a replica by what this node knows, without the placer.
-func (p *Places) pickLocally(a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict) {
+func (p *Places) pickLocally(a hgplacer.PlaceRequest) (l *hgreplica.Lease, v hgplacer.Verdict) {
 	if l, ok := p.set.Pick(a.Want); ok {
 		return l, hgplacer.Granted
 	}
@@ -151,8 +151,8 @@
 	}
 }
 
-// Serve waits for a place for a peer's request, as the placer, and holds it until Left is called or it is overdue.
-func (p *Places) Serve(ctx context.Context, a hgplacer.Ask) PlaceReply {
+// HandlePlace waits for a place for a peer's request, as the placer, and holds it until Left is called or it is overdue.
+func (p *Places) HandlePlace(ctx context.Context, a hgplacer.PlaceRequest) PlaceReply {
 	l, v := p.placer.Place(ctx, a)
 	if v != hgplacer.Granted {
 		return PlaceReply{Verdict: v, Load: p.placer.Load(a.Want.Service)}
@@ -161,5 +161,5 @@
 	return PlaceReply{Verdict: v, Replica: l.ID, FetchFrom: l.FetchFrom, Why: l.Why, Load: p.placer.Load(a.Want.Service)}
 }
 
-// Left cancels a peer's request for a place, or releases the place.
-func (p *Places) Left(q LeaveRequest) { p.placer.Leave(q.ID, q.Outcome) }
+// HandleLeave cancels a peer's request for a place, or releases the place.
+func (p *Places) HandleLeave(q LeaveRequest) { p.placer.Release(q.ID, q.Outcome) }
--- a/internal/peer/hgpeer/places_test.go
+++ b/internal/peer/hgpeer/places_test.go
@@ -27,17 +27,17 @@
 	timer := hgtimer.NewService()
 	defer timer.Close()
 	set := hgreplica.NewSet(timer, "north", func(time.Duration) *http.Client { return &http.Client{} })
-	set.Apply(map[string]hgreplica.Entry{"r": {ID: "r", Service: "s", Address: "r:1", Domain: "north", Slots: 4}}, 0)
+	set.Apply(map[string]hgreplica.Registration{"r": {ID: "r", Service: "s", Address: "r:1", Domain: "north", Slots: 4}}, 0)
 	self, placer := info("b", "north"), info("a", "north")
 	placer.Peer = l.Addr().String()
 	m := hgpeer.NewMembers(timer, self)
-	m.Heard(hgpeer.Beat{Info: placer})
+	m.HandleReply(hgpeer.Beat{Info: placer})
 	if got, isSelf := m.Placer(); isSelf || got.Name != "a" {
 		t.Fatalf("placer %q", got.Name)
 	}
 	places := hgpeer.NewPlaces(hgplacer.NewPlacer(set, timer), set, m, hgpeer.NewClient(nil), hglog.Discard())
 	began := time.Now()
-	lease, v := places.Take(t.Context(), hgplacer.Ask{ID: "x", Want: hgreplica.Want{Service: "s"}, Wait: 2 * time.Second, Left: 2 * time.Second})
+	lease, v := places.Take(t.Context(), hgplacer.PlaceRequest{ID: "x", Want: hgreplica.Want{Service: "s"}, Wait: 2 * time.Second, Left: 2 * time.Second})
 	if v != hgplacer.Granted || lease.ID != "r" {
 		t.Fatalf("verdict %s", v)
 	}
@@ -63,11 +63,11 @@
 	placer := info("a", "north")
 	placer.Peer = l.Addr().String()
 	m := hgpeer.NewMembers(timer, info("b", "north"))
-	m.Heard(hgpeer.Beat{Info: placer})
+	m.HandleReply(hgpeer.Beat{Info: placer})
 	client := hgpeer.NewClient(nil)
 	tests := map[string]func(ctx context.Context){
 		"place": func(ctx context.Context) {
-			hgpeer.NewPlaces(hgplacer.NewPlacer(set, timer), set, m, client, hglog.Discard()).Take(ctx, hgplacer.Ask{ID: "x", Wait: time.Second})
+			hgpeer.NewPlaces(hgplacer.NewPlacer(set, timer), set, m, client, hglog.Discard()).Take(ctx, hgplacer.PlaceRequest{ID: "x", Wait: time.Second})
 		},
 		"turn": func(ctx context.Context) {
 			hgpeer.NewPrograms(hgledger.NewLedger("b", hgstore.NewMemory(), timer, hglog.Discard()), m, client, hglog.Discard()).
@@ -94,16 +94,16 @@
 	set := hgreplica.NewSet(timer, "north", func(time.Duration) *http.Client { return &http.Client{} })
 	m := hgpeer.NewMembers(timer, info("a", "north"))
 	places := hgpeer.NewPlaces(hgplacer.NewPlacer(set, timer), set, m, hgpeer.NewClient(nil), hglog.Discard())
-	set.Apply(map[string]hgreplica.Entry{"r": {ID: "r", Service: "s", Domain: "north", Slots: 1}}, 0)
+	set.Apply(map[string]hgreplica.Registration{"r": {ID: "r", Service: "s", Domain: "north", Slots: 1}}, 0)
 	var leases []*hgreplica.Lease
 	for range hgplacer.Window {
-		l, _ := places.Take(t.Context(), hgplacer.Ask{ID: "fill", Want: hgreplica.Want{Service: "s"}, Wait: time.Second})
+		l, _ := places.Take(t.Context(), hgplacer.PlaceRequest{ID: "fill", Want: hgreplica.Want{Service: "s"}, Wait: time.Second})
 		leases = append(leases, l)
 	}
 	granted := make(chan hgplacer.Verdict, 2)
 	for range 2 {
 		go func() {
-			_, v := places.Take(context.Background(), hgplacer.Ask{ID: "same", Want: hgreplica.Want{Service: "s"}, Wait: time.Second})
+			_, v := places.Take(context.Background(), hgplacer.PlaceRequest{ID: "same", Want: hgreplica.Want{Service: "s"}, Wait: time.Second})
 			granted <- v
 		}()
 	}
--- a/internal/peer/hgpeer/programlog.go
+++ b/internal/peer/hgpeer/programlog.go
@@ -11,7 +11,7 @@
 	// programs are the latest ones in order, the last of which has the number lastNumber; known is the set of the same.
 	programs []uint64
 	known    map[uint64]bool
-	// received are the programs of peers that TakeUnused has not returned yet, and unannounced those of this node that no
+	// received are the programs of peers that TakeReceived has not returned yet, and unannounced those of this node that no
 	// heartbeat has carried yet.
 	received, unannounced []uint64
 }
@@ -55,8 +55,8 @@
 	return append([]uint64(nil), l.programs[max(number, first)-first:]...)
 }
 
-// TellPrograms queues programs that this node has started to serve, so that the next heartbeat announces them.
-func (m *Members) TellPrograms(digests []uint64) {
+// AnnouncePrograms queues programs that this node has started to serve, so that the next heartbeat announces them.
+func (m *Members) AnnouncePrograms(digests []uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, digest := range digests {
@@ -66,17 +66,17 @@
 	}
 }
 
-// TakeUntold returns the programs that this node has not announced yet, and clears the queue. The caller puts them into
+// TakeUnannounced returns the programs that this node has not announced yet, and clears the queue. The caller puts them into
 // its next heartbeat.
-func (m *Members) TakeUntold() (programs []uint64) {
+func (m *Members) TakeUnannounced() (programs []uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	programs, m.programLog.unannounced = m.programLog.unannounced, nil
 	return programs
 }
 
-// TakeUnused returns the programs of other nodes that were received since the last call.
-func (m *Members) TakeUnused() (programs []uint64) {
+// TakeReceived returns the programs of other nodes that were received since the last call.
+func (m *Members) TakeReceived() (programs []uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	programs, m.programLog.received = m.programLog.received, nil
--- a/internal/peer/hgpeer/programs.go
+++ b/internal/peer/hgpeer/programs.go
@@ -101,7 +101,7 @@
 // it sends one itself and waits for the reply.
 func (p *Programs) isSilent(peer Info) bool {
 	switch {
-	case p.members.HeardWithin(peer.Name, maxQuietBeats*p.members.Pace()):
+	case p.members.HeardWithin(peer.Name, maxQuietBeats*p.members.HeartbeatPeriod()):
 		return false
 	case !p.members.IsLarge():
 		return true
@@ -112,6 +112,6 @@
 	if err != nil || reply.Info.Name != peer.Name {
 		return true
 	}
-	p.members.Heard(reply)
+	p.members.HandleReply(reply)
 	return false
 }
--- a/internal/peer/hgpeer/rpc.go
+++ b/internal/peer/hgpeer/rpc.go
@@ -33,7 +33,7 @@
 }
 
 // Table replies with this node's copy of a watched table.
-func (s service) Table(q TableRequest, reply *hgfeed.Copy) error {
+func (s service) Table(q TableRequest, reply *hgfeed.Snapshot) error {
 	*reply = s.h.Table(q)
 	return nil
 }
@@ -66,7 +66,7 @@
 }
 
 // Place reserves a place on a replica, as the placer of the calling node's failure domain.
-func (s service) Place(a hgplacer.Ask, reply *PlaceReply) error {
+func (s service) Place(a hgplacer.PlaceRequest, reply *PlaceReply) error {
 	*reply = s.h.Place(a)
 	return nil
 }
@@ -214,8 +214,8 @@
 }
 
 // Table returns a peer's copy of a watched table.
-func (c *Client) Table(ctx context.Context, address, table string) (hgfeed.Copy, error) {
-	return call[TableRequest, hgfeed.Copy](ctx, c, address, "Table", TableRequest{Table: table})
+func (c *Client) Table(ctx context.Context, address, table string) (hgfeed.Snapshot, error) {
+	return call[TableRequest, hgfeed.Snapshot](ctx, c, address, "Table", TableRequest{Table: table})
 }
 
 // Open asks a peer to open a turn in its ledger.
@@ -245,8 +245,8 @@
 }
 
 // Place requests a place on a replica from the placer.
-func (c *Client) Place(ctx context.Context, address string, a hgplacer.Ask) (PlaceReply, error) {
-	return call[hgplacer.Ask, PlaceReply](ctx, c, address, "Place", a)
+func (c *Client) Place(ctx context.Context, address string, a hgplacer.PlaceRequest) (PlaceReply, error) {
+	return call[hgplacer.PlaceRequest, PlaceReply](ctx, c, address, "Place", a)
 }
 
 // Leave tells the placer that a request for a place is canceled, or that the place is free.
--- a/internal/peer/hgpeer/strong.go
+++ b/internal/peer/hgpeer/strong.go
@@ -10,10 +10,10 @@
 	minStrong = 4
 )
 
-// Strong returns the nodes that serve callers and programs. On sites with VMs of different sizes these are the ones with
+// ServingNodes returns the nodes that serve callers and programs. On sites with VMs of different sizes these are the ones with
 // large processors: a request takes several times as long on a small VM, and every further node would keep connections to all
 // others. It returns all nodes if fewer than minStrong are left.
-func Strong(nodes []Info) []Info {
+func ServingNodes(nodes []Info) []Info {
 	most := lo.Max(lo.Map(nodes, func(i Info, _ int) float64 { return i.Power }))
 	strong := lo.Filter(nodes, func(i Info, _ int) bool { return i.Power >= strongShare*most })
 	if len(strong) < minStrong {
--- a/internal/peer/hgpeer/strong_test.go
+++ b/internal/peer/hgpeer/strong_test.go
@@ -24,7 +24,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			if diff := cmp.Diff(tt.want, names(hgpeer.Strong(tt.nodes))); diff != "" {
+			if diff := cmp.Diff(tt.want, names(hgpeer.ServingNodes(tt.nodes))); diff != "" {
 				t.Errorf("strong nodes (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/peer/hgpeer/tls.go
+++ b/internal/peer/hgpeer/tls.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Secure returns the TLS configuration for both sides of the connections between nodes. Each side presents its certificate,
+// TLSConfig returns the TLS configuration for both sides of the connections between nodes. Each side presents its certificate,
 // and accepts only certificates that the authority signed. Names are not checked, because nodes are identified by their
 // addresses and any node may serve any program.
-func Secure(certFile, keyFile, authorityFile string) (cfg *tls.Config, err error) {
+func TLSConfig(certFile, keyFile, authorityFile string) (cfg *tls.Config, err error) {
 	defer func() { err = trace.Wrap(err, "TLS keys for connections between nodes") }()
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
--- a/internal/peer/hgpeer/tls_test.go
+++ b/internal/peer/hgpeer/tls_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := hgpeer.Secure(cert, key, trusted.File)
+	cfg, err := hgpeer.TLSConfig(cert, key, trusted.File)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proof/hgbench/cell_slope_test.go
+++ b/internal/proof/hgbench/cell_slope_test.go
@@ -23,7 +23,7 @@
 // newCell starts a cell and waits until it is ready.
 func newCell(t *testing.T, nodes, engines int) *hgcell.Cell {
 	t.Helper()
-	opts := hgcell.Demo(hglog.Discard())
+	opts := hgcell.DemoOptions(hglog.Discard())
 	opts.Nodes, opts.Engines = nodes, engines
 	c, err := hgcell.NewCell(opts)
 	if err != nil {
--- a/internal/proof/hgbench/run.go
+++ b/internal/proof/hgbench/run.go
@@ -159,12 +159,12 @@
 	for i, from := range b.nodes {
 		calls, held := from.sched.InFlight(), map[string]int{}
 		from.mu.Lock()
-		from.keeper.Demand(held)
+		from.keeper.AddDemand(held)
 		from.mu.Unlock()
 		from.sched.SetHeld(held)
 		for j, to := range b.nodes {
 			if i != j {
-				to.sched.PeerLoads(fmt.Sprint("node-", i), calls, held)
+				to.sched.SetPeerLoads(fmt.Sprint("node-", i), calls, held)
 			}
 		}
 	}
@@ -177,8 +177,8 @@
 		held, share := e.IdlePrefixes(), e.MemoryUse()
 		for _, n := range b.nodes {
 			n.mu.Lock()
-			n.keeper.Pressure(id, share)
-			n.keeper.Holds(id, held)
+			n.keeper.SetMemoryUse(id, share)
+			n.keeper.SetContents(id, held)
 			n.mu.Unlock()
 		}
 	}
@@ -306,7 +306,7 @@
 		b.mu.Unlock()
 		g, err := n.sched.Acquire(context.Background(), hgsched.Request{
 			Program: p.ID, Target: model, New: i == 0 && p.ID == root, Served: served, Home: home, HomeTokens: held,
-			Tokens: tokens + t.NewTokens, Output: t.OutputTokens, Exclude: exclude, Left: callDeadline,
+			Tokens: tokens + t.NewTokens, Output: t.OutputTokens, Exclude: exclude, Remaining: callDeadline,
 		})
 		if err != nil {
 			return o, err
--- a/internal/proof/hgbench/slope_test.go
+++ b/internal/proof/hgbench/slope_test.go
@@ -99,7 +99,7 @@
 		Program: program, Seq: seq, Request: fmt.Sprintf("%s-%d", program, seq), Kind: hgcall.Model, Target: "m", MaxTokens: 100,
 		Messages: []hgcall.Message{{Role: "user", Content: strings.Repeat("w", size)}}, Deadline: time.Minute,
 	}
-	recs := s.Begin(c, hgprogram.Limits{BudgetTokens: 1 << 39, MaxTokens: 100}, 0).(hgprogram.Run).Records
+	recs := s.Begin(c, hgprogram.Defaults{BudgetTokens: 1 << 39, MaxTokens: 100}, 0).(hgprogram.Run).Records
 	r := hgcall.Result{State: hgcall.Done, Answer: bytes.Repeat([]byte("a"), size), InputTokens: uint64(size / 4), OutputTokens: uint64(size / 4)}
 	return append(recs, s.Finish(program, c.Request, r, 0)...)
 }
--- a/internal/proof/hgcell/cell.go
+++ b/internal/proof/hgcell/cell.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	i := hgnode.Wire(cfg, hgnode.Keys{Cell: key, Operator: operator}, c.opts.Log, hgnode.Release{Version: "cell"})
+	i := hgnode.NewInjector(cfg, hgnode.Keys{Cell: key, Operator: operator}, c.opts.Log, hgnode.BuildInfo{Version: "cell"})
 	if c.opts.Dial != nil {
 		do.ProvideValue(i, c.opts.Dial(cfg.Node.ID))
 	}
@@ -176,7 +176,7 @@
 func (c *Cell) WaitReady() (err error) {
 	end := time.Now().Add(readyTimeout)
 	for time.Now().Before(end) {
-		owned := lo.SumBy(c.Nodes, func(n *hgnode.Node) int { return n.Owned() })
+		owned := lo.SumBy(c.Nodes, func(n *hgnode.Node) int { return n.OwnedShards() })
 		ready := lo.EveryBy(c.Nodes, func(n *hgnode.Node) bool { return n.Ready() == nil })
 		if ready && owned == c.Configs[0].Node.Shards {
 			return nil
@@ -214,8 +214,8 @@
 	c.Platform.Close()
 }
 
-// Demo returns the options of a small cell that serves all models and services of the shipped traces.
-func Demo(log *slog.Logger) Options {
+// DemoOptions returns the options of a small cell that serves all models and services of the shipped traces.
+func DemoOptions(log *slog.Logger) Options {
 	return Options{
 		Nodes: 3, Engines: 3, Tools: 3, Models: []string{"clerk-7b", "dispute-13b"}, Services: []string{"register", "gate", "payment"},
 		Engine: hgstandin.Options{TokenTime: time.Millisecond, PrefillTime: 20 * time.Microsecond, CacheTokens: 200_000},
--- a/internal/proof/hgcell/cell_test.go
+++ b/internal/proof/hgcell/cell_test.go
@@ -18,7 +18,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c, err := NewCell(Demo(hglog.Discard()))
+			c, err := NewCell(DemoOptions(hglog.Discard()))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -27,7 +27,7 @@
 				t.Fatal(err)
 			}
 			r := c.Replay(t.Context(), programs, hgreplay.Options{
-				Speed: 2, Deadline: 20 * time.Second, Patience: 20 * time.Second, Progress: func(int, int) {},
+				Speed: 2, Deadline: 20 * time.Second, RetryWindow: 20 * time.Second, Progress: func(int, int) {},
 			})
 			if diff := cmp.Diff([]string{}, r.Violations); diff != "" {
 				t.Errorf("violations (-want +got):\n%s", diff)
--- a/internal/proof/hgcell/front_test.go
+++ b/internal/proof/hgcell/front_test.go
@@ -31,7 +31,7 @@
 // startCellWith starts a cell of two nodes whose settings are changed by edit, unless it is nil.
 func startCellWith(t *testing.T, edit func(cfg *hgconfig.Config)) *Cell {
 	t.Helper()
-	opts := Demo(hglog.Discard())
+	opts := DemoOptions(hglog.Discard())
 	opts.Nodes, opts.EditConfig = 2, edit
 	c, err := NewCell(opts)
 	if err != nil {
--- a/internal/proof/hgmodel/experiment.go
+++ b/internal/proof/hgmodel/experiment.go
@@ -14,20 +14,20 @@
 
 // Experiment compares policies on the same workloads with the same seeds.
 type Experiment struct {
-	Policies []func(*Run) Policy
-	Loads    []Workload
+	Policies  []func(*Run) Policy
+	Workloads []Workload
 	// Seeds is the number of seeds, from 1 on.
 	Seeds int
 }
 
-// Play simulates all combinations, as many in parallel as there are processors, and returns the results ordered by
+// Run simulates all combinations, as many in parallel as there are processors, and returns the results ordered by
 // workload, policy and seed.
-func (e Experiment) Play() (results []Result) {
-	results = make([]Result, len(e.Loads)*len(e.Policies)*e.Seeds)
+func (e Experiment) Run() (results []Result) {
+	results = make([]Result, len(e.Workloads)*len(e.Policies)*e.Seeds)
 	group := errgroup.Group{}
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	i := 0
-	for _, load := range e.Loads {
+	for _, load := range e.Workloads {
 		for _, policy := range e.Policies {
 			for seed := range e.Seeds {
 				at := i
--- a/internal/proof/hgmodel/model_test.go
+++ b/internal/proof/hgmodel/model_test.go
@@ -15,10 +15,10 @@
 func TestPlacerBeatsBaselines(t *testing.T) {
 	names := []string{"roundRobin", "leastInFlight", "each", "eachFetching", "placer"}
 	e := hgmodel.Experiment{
-		Policies: lo.Map(names, func(name string, _ int) func(*hgmodel.Run) hgmodel.Policy { return hgmodel.Policies[name] }),
-		Loads:    []hgmodel.Workload{shorter(hgmodel.DerwentGrown(0.75))}, Seeds: 2,
+		Policies:  lo.Map(names, func(name string, _ int) func(*hgmodel.Run) hgmodel.Policy { return hgmodel.Policies[name] }),
+		Workloads: []hgmodel.Workload{shorter(hgmodel.DerwentGrown(0.75))}, Seeds: 2,
 	}
-	means := hgmodel.Means(e.Play())
+	means := hgmodel.Means(e.Run())
 	best := means[len(means)-1]
 	if best.Net < 0.8 {
 		t.Errorf("placer: net worth %.3f, want 0.8", best.Net)
--- a/internal/proof/hgmodel/placer.go
+++ b/internal/proof/hgmodel/placer.go
@@ -83,7 +83,7 @@
 				sum[id] += n
 			}
 		}
-		to.set.SetGossip(sum)
+		to.set.SetPeerInFlight(sum)
 		p.grant(to)
 	}
 }
@@ -99,7 +99,7 @@
 	w := newWant(t, true)
 	w.Window = p.cfg.Window
 	if p.cfg.Fetch {
-		w.Fetch = hgreplica.Fetch{Setup: p.r.workload.Engine.FetchSetup, PerToken: p.r.workload.Engine.FetchPerToken, Charge: p.cfg.Charge}
+		w.Fetch = hgreplica.FetchCost{Setup: p.r.workload.Engine.FetchSetup, PerToken: p.r.workload.Engine.FetchPerToken, Charge: p.cfg.Charge}
 	}
 	now := p.r.clock.now
 	rank := p.cfg.Rank(t, now)
@@ -124,7 +124,7 @@
 	}
 }
 
-func (p *placerPolicy) FirstToken(t *Turn, _ int) { p.leases[t].Answered(hgattempt.Answer{}, 0) }
+func (p *placerPolicy) FirstToken(t *Turn, _ int) { p.leases[t].RecordAnswer(hgattempt.Answer{}, 0) }
 
 func (p *placerPolicy) Done(t *Turn, _ int, _ bool) {
 	l := p.leases[t]
--- a/internal/proof/hgmodel/policy.go
+++ b/internal/proof/hgmodel/policy.go
@@ -118,10 +118,10 @@
 func newSet(r *Run, domain int) *hgreplica.Set {
 	client := &http.Client{}
 	s := hgreplica.NewSet(r.clock, domainName(domain), func(time.Duration) *http.Client { return client })
-	entries := map[string]hgreplica.Entry{}
+	entries := map[string]hgreplica.Registration{}
 	for e := range r.engines {
 		id := strconv.Itoa(e)
-		entries[id] = hgreplica.Entry{ID: id, Service: service, Address: id, Domain: domainName(e % r.workload.Domains), Slots: r.workload.Engine.Slots}
+		entries[id] = hgreplica.Registration{ID: id, Service: service, Address: id, Domain: domainName(e % r.workload.Domains), Slots: r.workload.Engine.Slots}
 	}
 	s.Apply(entries, 0)
 	return s
@@ -155,7 +155,7 @@
 				}
 			}
 		}
-		s.SetGossip(sum)
+		s.SetPeerInFlight(sum)
 	}
 }
 
@@ -186,7 +186,7 @@
 	p.attempts[t]++
 	w := newWant(t, p.locality)
 	if p.fetch {
-		w.Fetch = hgreplica.Fetch{Setup: p.r.workload.Engine.FetchSetup, PerToken: p.r.workload.Engine.FetchPerToken, Charge: fetchChargePerToken}
+		w.Fetch = hgreplica.FetchCost{Setup: p.r.workload.Engine.FetchSetup, PerToken: p.r.workload.Engine.FetchPerToken, Charge: fetchChargePerToken}
 	}
 	l, ok := p.sets[t.Node].Pick(w)
 	if !ok || p.attempts[t] > maxEngineAttempts {
@@ -200,7 +200,7 @@
 
 func (p *perNode) FirstToken(t *Turn, at int) {
 	e := p.r.engines[at]
-	p.leases[t].Answered(hgattempt.Answer{HasLoad: true, Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots}, 0)
+	p.leases[t].RecordAnswer(hgattempt.Answer{HasLoad: true, Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots}, 0)
 }
 
 func (p *perNode) Done(t *Turn, _ int, _ bool) {
@@ -211,7 +211,7 @@
 
 func (p *perNode) Refused(t *Turn, at int) {
 	e := p.r.engines[at]
-	p.leases[t].Answered(hgattempt.Answer{NotRun: true, HasLoad: true, Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots}, 0)
+	p.leases[t].RecordAnswer(hgattempt.Answer{NotRun: true, HasLoad: true, Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots}, 0)
 	p.leases[t].Release()
 	p.attempt(t)
 }
--- a/internal/proof/hgmodel/sites.go
+++ b/internal/proof/hgmodel/sites.go
@@ -13,9 +13,9 @@
 	}
 }
 
-// Loads maps names to workloads like the busiest days in the users' data sheets, with bursts, at a multiple of the
+// Workloads maps names to workloads like the busiest days in the users' data sheets, with bursts, at a multiple of the
 // arrival rate.
-var Loads = map[string]func(rate float64) Workload{"derwent": Derwent, "derwentGrown": DerwentGrown, "fjordbomGrown": FjordbomGrown}
+var Workloads = map[string]func(rate float64) Workload{"derwent": Derwent, "derwentGrown": DerwentGrown, "fjordbomGrown": FjordbomGrown}
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
--- a/internal/proof/hgproof/cut_test.go
+++ b/internal/proof/hgproof/cut_test.go
@@ -113,7 +113,7 @@
 func newPartitionCell(t *testing.T, pollMs int) (c *hgcell.Cell, network *faultyNetwork) {
 	t.Helper()
 	network = &faultyNetwork{nodes: map[string]string{}}
-	opts := hgcell.Demo(hglog.Discard())
+	opts := hgcell.DemoOptions(hglog.Discard())
 	opts.Nodes = 4
 	opts.Dial = network.dial
 	opts.EditConfig = func(cfg *hgconfig.Config) {
@@ -156,7 +156,7 @@
 		caller.clients = append(caller.clients, hgcaller.NewClient(address))
 	}
 	r := hgreplay.NewReplay(caller, hgreplay.Options{
-		Speed: 0.4, Deadline: 25 * time.Second, Patience: 20 * time.Second, Progress: func(int, int) {},
+		Speed: 0.4, Deadline: 25 * time.Second, RetryWindow: 20 * time.Second, Progress: func(int, int) {},
 	}).Run(t.Context(), programs)
 	r.CheckRecords(c.Executions())
 	t.Logf("done %d, undone %d, refusals %v, latency %+v", r.Done, r.Undone, r.Refusals, r.Latency())
--- a/internal/proof/hgproof/fault_test.go
+++ b/internal/proof/hgproof/fault_test.go
@@ -80,7 +80,7 @@
 func TestHungTool(t *testing.T) {
 	b := newTestBench(t, testBenchOptions{nodes: 2, engines: 1, tools: 1, engine: quickEngine})
 	b.setFault("tool", hgstandin.Fault{Hang: true})
-	for idempotent, reason := range map[bool]hgcall.Reason{true: hgcall.ReasonDeadline, false: hgcall.ReasonDispatched} {
+	for idempotent, reason := range map[bool]hgcall.Reason{true: hgcall.ReasonDeadline, false: hgcall.ReasonOutcomeLost} {
 		c := tool(fmt.Sprintf("hung-%t", idempotent), 1, "gate/open", idempotent)
 		c.Deadline = 1500 * time.Millisecond
 		began := time.Now()
--- a/internal/proof/hgproof/testbench_test.go
+++ b/internal/proof/hgproof/testbench_test.go
@@ -333,6 +333,6 @@
 		b.t.Fatal(err)
 	}
 	return hgreplay.NewReplay(b.client, hgreplay.Options{
-		Speed: speed, Deadline: 25 * time.Second, Patience: 20 * time.Second, Progress: func(int, int) {}, Prefix: prefix,
+		Speed: speed, Deadline: 25 * time.Second, RetryWindow: 20 * time.Second, Progress: func(int, int) {}, Prefix: prefix,
 	}).Run(ctx, programs)
 }
--- a/internal/proof/hgreplay/replay.go
+++ b/internal/proof/hgreplay/replay.go
@@ -27,8 +27,8 @@
 	Speed float64
 	// Deadline is the time limit of each call.
 	Deadline time.Duration
-	// Patience is the time within which a refused call is retried.
-	Patience time.Duration
+	// RetryWindow is the time within which a refused call is retried.
+	RetryWindow time.Duration
 	// Progress is called after each program with the number of programs that have ended and of all programs.
 	Progress func(done, all int)
 	// Prefix is put before each program's identifier, so that a trace can be replayed more than once.
@@ -129,7 +129,7 @@
 }
 
 // runCall sends a call until it is answered or can't be retried. A request that was refused as not run is retried under a
-// new identifier, after the delay in the refusal and within Patience.
+// new identifier, after the delay in the refusal and within RetryWindow.
 func (p *Replay) runCall(ctx context.Context, l Line, history *[]hgcall.Message) (ok bool) {
 	start := time.Now()
 	for attempt := 0; ; attempt++ {
@@ -140,7 +140,7 @@
 			return p.checkAnswer(c, a, history)
 		}
 		var r *hgcall.Refusal
-		if !errors.As(err, &r) || r.Kind != hgcall.KindNotRun || r.RetryAfter == 0 || time.Since(start) > p.opts.Patience {
+		if !errors.As(err, &r) || r.Kind != hgcall.KindNotRun || r.RetryAfter == 0 || time.Since(start) > p.opts.RetryWindow {
 			return false
 		}
 		if !sleep(ctx, r.RetryAfter) {
@@ -210,7 +210,7 @@
 	if errors.As(err, &r) {
 		p.report.Refusals[fmt.Sprintf("%s/%s", r.Kind, r.Reason)]++
 		p.report.notRun[c.Request] = p.report.notRun[c.Request] || r.Kind == hgcall.KindNotRun
-		p.report.unknown[c.Request] = p.report.unknown[c.Request] || r.Kind == hgcall.KindUnknown && r.Reason == hgcall.ReasonDispatched
+		p.report.unknown[c.Request] = p.report.unknown[c.Request] || r.Kind == hgcall.KindUnknown && r.Reason == hgcall.ReasonOutcomeLost
 		return
 	}
 	if err == nil {
--- a/internal/proof/hgsite/caller.go
+++ b/internal/proof/hgsite/caller.go
@@ -82,7 +82,7 @@
 func Turn(path, program, previous, body string) Request {
 	return Request{Path: path + "turn", Body: body, Attempt: hgattempt.Attempt{
 		ID: NewAttempt(), Program: program, Session: program, Previous: previous, Budget: 100_000, HasBudget: true,
-		TokensIn: len(body), MostOut: 2 * Events * TokensPerEvent, Deadline: 4 * time.Second,
+		TokensIn: len(body), MaxTokensOut: 2 * Events * TokensPerEvent, Deadline: 4 * time.Second,
 		Prefix: []hgattempt.Part{{ID: "shared", Tokens: 100}, {ID: fmt.Sprint("s", program), Tokens: len(body)}},
 	}}
 }
--- a/internal/proof/hgsite/path_test.go
+++ b/internal/proof/hgsite/path_test.go
@@ -105,7 +105,7 @@
 	s := newSite(t, 1)
 	turn := hgsite.Turn(hgsite.ThreadPath, "q", "none", "x")
 	spent := hgsite.Turn(hgsite.ChatPath, "r", "", "x")
-	spent.Budget = spent.MostOut - 1
+	spent.Budget = spent.MaxTokensOut - 1
 	tests := map[string]struct {
 		q      hgsite.Request
 		status int
@@ -114,7 +114,7 @@
 		"no such turn":    {turn, http.StatusNotFound},
 		"spent":           {spent, http.StatusPaymentRequired},
 		"body too large":  {hgsite.Request{Path: hgsite.ChargePath, Body: strings.Repeat("x", 1<<20+1)}, http.StatusRequestEntityTooLarge},
-		"unreadable time": {hgsite.Request{Path: hgsite.ChargePath, Header: hgplatform.GarbleDeadline()}, http.StatusBadRequest},
+		"unreadable time": {hgsite.Request{Path: hgsite.ChargePath, Header: hgplatform.MalformedDeadline()}, http.StatusBadRequest},
 		"check":           {hgsite.Request{Path: hgsite.CheckPath, Method: http.MethodGet}, http.StatusOK},
 		"charge":          {hgsite.Request{Path: hgsite.ChargePath + "a%2Fb?x=1&&y=%20", Body: "pay"}, http.StatusOK},
 	}
@@ -137,7 +137,7 @@
 	s := newSite(t, 1)
 	q := hgsite.Turn(hgsite.ChatPath, "p", "", "x")
 	q.Header = http.Header{}
-	hgplatform.Forge(q.Header)
+	hgplatform.ForgeSystemHeaders(q.Header)
 	wantStream(t, call(t, s, 0, q))
 	for _, r := range s.Runs(hgsite.Engines) {
 		if len(r.Forged) > 0 {
@@ -203,7 +203,7 @@
 	s := newSite(t, 2)
 	d := hgsite.Desired(5)
 	d.Routes = append(d.Routes, hgdesired.Route{
-		Name: "new", Host: hgsite.Host, PathPrefix: "/new/", Kind: hgdesired.Once, Timeout: time.Second, MaxAttempts: 1,
+		Name: "new", Host: hgsite.Host, PathPrefix: "/new/", Kind: hgdesired.AtMostOnce, Timeout: time.Second, MaxAttempts: 1,
 		Shares: []hgdesired.Share{{Service: hgsite.Tools, Weight: 1000}},
 	})
 	if err := s.SetDesired(d); err != nil {
@@ -252,7 +252,7 @@
 	wantStream(t, call(t, s, 0, kept))
 	stopped := func() hgsite.Request {
 		q := hgsite.Turn(hgsite.ChatPath, "stopped", "", "x")
-		q.Budget = q.MostOut
+		q.Budget = q.MaxTokensOut
 		return q
 	}
 	for range 6 {
--- a/internal/proof/hgsite/play.go
+++ b/internal/proof/hgsite/play.go
@@ -69,7 +69,7 @@
 	for t := range playTurns {
 		q := Turn(ThreadPath, program, previous, fmt.Sprintf("input %d of %s ", t, program))
 		if i%10 == 9 {
-			q.Budget = tightBudgetTurns * q.MostOut
+			q.Budget = tightBudgetTurns * q.MaxTokensOut
 		}
 		id, status := s.playTurn(ctx, r, q, &p)
 		if status != http.StatusOK {
--- a/internal/proof/hgsite/replica.go
+++ b/internal/proof/hgsite/replica.go
@@ -60,7 +60,7 @@
 
 // Replica is a stand-in for an endpoint: a model engine that streams events, or a tool that answers with a plain body.
 type Replica struct {
-	Entry  hgreplica.Entry
+	Entry  hgreplica.Registration
 	engine bool
 	// events is the number of events of a stream; pause is the time before each event, and before a tool's answer.
 	events int
@@ -83,7 +83,7 @@
 }
 
 // newReplica starts a replica on loopback and enters its address into the registration.
-func newReplica(e hgreplica.Entry, engine bool, events int, pause time.Duration) (r *Replica, err error) {
+func newReplica(e hgreplica.Registration, engine bool, events int, pause time.Duration) (r *Replica, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 	}
 	answer.Leaving = r.countArrival()
 	run := Run{
-		Replica: r.Entry.ID, Incarnation: r.incarnation(), Leaving: answer.Leaving, Attempt: a.ID, Program: a.Program, URI: q.RequestURI, At: time.Now(), Forged: hgplatform.Forged(q.Header),
+		Replica: r.Entry.ID, Incarnation: r.incarnation(), Leaving: answer.Leaving, Attempt: a.ID, Program: a.Program, URI: q.RequestURI, At: time.Now(), Forged: hgplatform.ForgedHeaders(q.Header),
 		LastEvent: a.LastEvent, Deadline: a.Deadline, FetchFrom: hgplatform.FetchFrom(q.Header),
 	}
 	f := r.takeFault(run)
--- a/internal/proof/hgsite/site.go
+++ b/internal/proof/hgsite/site.go
@@ -46,7 +46,7 @@
 	Store        *hgstore.Memory
 	Replicas     map[string]*Replica
 	Nodes        []*hgedge.Node
-	Configs      []hgconfig.Entry
+	Configs      []hgconfig.EntryConfig
 	storeAddress string
 	store        *http.Server
 	// slow is the table for which the store delays its answers; nil if there is none.
@@ -59,7 +59,7 @@
 func Desired(version uint64) *hgdesired.State {
 	route := func(name, path, service string, kind hgdesired.Kind) hgdesired.Route {
 		return hgdesired.Route{
-			Name: name, Host: Host, PathPrefix: path, Kind: kind, Timeout: 4 * time.Second, Target: 200 * time.Millisecond,
+			Name: name, Host: Host, PathPrefix: path, Kind: kind, Timeout: 4 * time.Second, TargetLatency: 200 * time.Millisecond,
 			MaxAttempts: 2, Shares: []hgdesired.Share{{Service: service, Weight: 1000}},
 		}
 	}
@@ -70,13 +70,13 @@
 	return &hgdesired.State{
 		Version: version,
 		Routes: []hgdesired.Route{
-			chat, thread, route("check", CheckPath, Tools, hgdesired.Idempotent), route("charge", ChargePath, Tools, hgdesired.Once),
+			chat, thread, route("check", CheckPath, Tools, hgdesired.Idempotent), route("charge", ChargePath, Tools, hgdesired.AtMostOnce),
 		},
 		Services: map[string]hgdesired.Service{
 			Engines: {Name: Engines, MaxConns: 100, Engine: &hgdesired.Engine{Slots: 8, CacheTokens: 100_000, TokensPerEvent: TokensPerEvent, FetchPerToken: time.Microsecond / 2}},
 			Tools:   {Name: Tools, MaxConns: 100},
 		},
-		Limits: hgdesired.Limits{MaxBodyBytes: 1 << 20, Idle: 15 * time.Second},
+		Limits: hgdesired.Limits{MaxBodyBytes: 1 << 20, IdleTimeout: 15 * time.Second},
 	}
 }
 
@@ -99,7 +99,7 @@
 		handler.ServeHTTP(w, r)
 	})}
 	go func() { _ = s.store.Serve(l) }()
-	for i, e := range []hgreplica.Entry{
+	for i, e := range []hgreplica.Registration{
 		{ID: "engine-0", Service: Engines}, {ID: "engine-1", Service: Engines}, {ID: "tool-0", Service: Tools}, {ID: "tool-1", Service: Tools},
 	} {
 		e.Domain, e.Slots, e.Born = Domains[i%len(Domains)], 8, strconv.Itoa(firstStart)
@@ -162,14 +162,14 @@
 func (s *Site) StoreAddress() string { return s.storeAddress }
 
 // AddConfig adds and returns the settings of one more entry VM that uses the given store address. The caller starts the VM.
-func (s *Site) AddConfig(store string) (cfg hgconfig.Entry, err error) {
+func (s *Site) AddConfig(store string) (cfg hgconfig.EntryConfig, err error) {
 	if cfg, err = entryConfig(len(s.Configs), store); err == nil {
 		s.Configs = append(s.Configs, cfg)
 	}
 	return cfg, err
 }
 
-func entryConfig(i int, store string) (cfg hgconfig.Entry, err error) {
+func entryConfig(i int, store string) (cfg hgconfig.EntryConfig, err error) {
 	addresses := make([]string, 5)
 	for k := range addresses {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.1.%d:0", i+1))
@@ -179,7 +179,7 @@
 		defer l.Close()
 		addresses[k] = l.Addr().String()
 	}
-	cfg = hgconfig.DefaultEntry()
+	cfg = hgconfig.DefaultEntryConfig()
 	cfg.VM = hgconfig.EntryVM{Name: fmt.Sprintf("vm-%d", i), Domain: Domains[i%len(Domains)], MemoryMB: 256, CPUShare: 1, Cores: 1, FirstStart: true}
 	cfg.Listen = hgconfig.EntryListen{
 		Public: addresses[0], Ready: addresses[1], Directory: addresses[2], Peer: addresses[3], Metrics: addresses[4],
@@ -208,7 +208,7 @@
 func (s *Site) Kill(i int) { s.Nodes[i].Close() }
 
 // Register writes a replica's registration to the store.
-func (s *Site) Register(e hgreplica.Entry) (err error) {
+func (s *Site) Register(e hgreplica.Registration) (err error) {
 	value, err := hgplatform.EncodeReplica(e)
 	if err != nil {
 		return err
--- a/internal/proof/hgsoak/caller.go
+++ b/internal/proof/hgsoak/caller.go
@@ -62,7 +62,7 @@
 	for turn := 0; turn < 2+r.IntN(2*maxTurns) && ctx.Err() == nil; turn++ {
 		q := hgsite.Turn(hgsite.ChatPath, program, "", "hello")
 		if tight {
-			q.Budget = 2 * q.MostOut
+			q.Budget = 2 * q.MaxTokensOut
 		}
 		if _, _ = s.call(ctx, r, q, true); r.IntN(3) == 0 {
 			s.tool(ctx, r)
@@ -87,7 +87,7 @@
 	time.Sleep(time.Duration(r.Int64N(int64(maxThinkTime))))
 	if r.IntN(20) == 0 {
 		q.Header = http.Header{}
-		hgplatform.Forge(q.Header)
+		hgplatform.ForgeSystemHeaders(q.Header)
 	}
 	limit := callTimeout
 	if r.IntN(30) == 0 {
--- a/internal/proof/hgsoak/check.go
+++ b/internal/proof/hgsoak/check.go
@@ -57,7 +57,7 @@
 		c.notRun[q.ID] = true
 	}
 	c.delivered[q.Program] += len(reply.Events) * hgsite.TokensPerEvent
-	c.allowed[q.Program] = q.Budget + q.MostOut
+	c.allowed[q.Program] = q.Budget + q.MaxTokensOut
 	for i, event := range reply.Events {
 		if event != hgsite.Event(i+1) {
 			c.violate("attempt %s: event %d is %q", q.ID, i+1, event)
@@ -86,8 +86,8 @@
 	c.violate("attempt %s: turn %s is denied", attempt, previous)
 }
 
-// OwnEnds is the key in Report.Counts of the processes that exited without being stopped by the soak.
-const OwnEnds = "own ends"
+// UnexpectedExits is the key in Report.Counts of the processes that exited without being stopped by the soak.
+const UnexpectedExits = "own ends"
 
 // startupTime is the time within which a process reaches its main function. A signal before that ends the process, which is no
 // violation.
@@ -97,7 +97,7 @@
 func (c *checker) unexpectedExit(vm string, ran time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts[OwnEnds]++
+	c.counts[UnexpectedExits]++
 	if ran > startupTime {
 		c.violate("%s ended by itself after %v", vm, ran)
 	}
--- a/internal/proof/hgsoak/process.go
+++ b/internal/proof/hgsoak/process.go
@@ -18,7 +18,7 @@
 // process runs an entry VM as a child process.
 type process struct {
 	binary, dir string
-	cfg         hgconfig.Entry
+	cfg         hgconfig.EntryConfig
 	// onUnexpectedExit is called with the process's run time when it exits by itself; the process is then started again.
 	onUnexpectedExit func(ran time.Duration)
 
--- a/internal/proof/hgsoak/soak.go
+++ b/internal/proof/hgsoak/soak.go
@@ -27,7 +27,7 @@
 // Report holds the violations that a soak found and the counts of what it did.
 type Report struct {
 	Violations []string
-	// Counts holds the answers by status beside further counts such as OwnEnds, and Faults the faults by kind.
+	// Counts holds the answers by status beside further counts such as UnexpectedExits, and Faults the faults by kind.
 	Counts, Faults map[string]int
 	Programs       int
 }
--- a/internal/serve/hgattempt/attempt.go
+++ b/internal/serve/hgattempt/attempt.go
@@ -10,8 +10,8 @@
 	Deadline time.Duration
 	// Object identifies what the request is about, for affinity: requests with the same object are faster on the same replica.
 	Object string
-	// TokensIn is the length of the prompt and MostOut the limit of generated tokens.
-	TokensIn, MostOut int
+	// TokensIn is the length of the prompt and MaxTokensOut the limit of generated tokens.
+	TokensIn, MaxTokensOut int
 	// Estimate is the number of tokens that the caller expects to be generated; 0 if the request does not say.
 	Estimate int
 	// Prefix lists the parts that the prompt starts with, in order. Replicas that have them cached need not read them again.
@@ -62,8 +62,8 @@
 	Failed bool
 	// Leaving says that the replica shuts down soon and must get no new requests.
 	Leaving bool
-	// KeepsIdle is how long the replica keeps an idle connection open; 0 if the response does not say.
-	KeepsIdle time.Duration
+	// IdleTimeout is how long the replica keeps an idle connection open; 0 if the response does not say.
+	IdleTimeout time.Duration
 	// HasLoad says that the response reports the replica's load: Running and Waiting are its requests in progress and in its
 	// queue, and Slots is how many it runs at once.
 	HasLoad                 bool
--- a/internal/serve/hgdesired/desired.go
+++ b/internal/serve/hgdesired/desired.go
@@ -14,8 +14,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once requests are not idempotent; they run at most once for each attempt of a caller.
-	Once Kind = "once"
+	// AtMostOnce requests are not idempotent; they run at most once for each attempt of a caller.
+	AtMostOnce Kind = "once"
 	// Stream requests are answered by a stream of events; they run at most once unless the route is resumable.
 	Stream Kind = "stream"
 )
@@ -36,8 +36,8 @@
 	Kind       Kind
 	// Timeout bounds a request from its arrival to the end of its answer; the deadline of the caller may be shorter.
 	Timeout time.Duration
-	// Target is the latency within which an answer counts as on time.
-	Target time.Duration
+	// TargetLatency is the latency within which an answer counts as on time.
+	TargetLatency time.Duration
 	// MaxAttempts is the largest number of replicas to which one attempt of a caller may be sent.
 	MaxAttempts int
 	// Priority orders waiting requests; 0 goes first.
@@ -89,8 +89,8 @@
 type Limits struct {
 	// MaxBodyBytes is the largest body of a request; if it is 0, the entry VMs apply their own default.
 	MaxBodyBytes int64
-	// Idle is the platform's idle_timeout_ms. It is decoded but not applied.
-	Idle time.Duration
+	// IdleTimeout is the platform's idle_timeout_ms. It is decoded but not applied.
+	IdleTimeout time.Duration
 }
 
 // Route returns the route of a host whose path prefix is the longest one that the path begins with.
--- a/internal/serve/hgentry/entry.go
+++ b/internal/serve/hgentry/entry.go
@@ -43,20 +43,20 @@
 // Placer queues requests for engines and grants them leases on replicas.
 type Placer interface {
 	// Take waits for a lease until a.Wait has passed or ctx ends; l is nil unless v is hgplacer.Granted.
-	Take(ctx context.Context, a hgplacer.Ask) (l *hgreplica.Lease, v hgplacer.Verdict)
+	Take(ctx context.Context, a hgplacer.PlaceRequest) (l *hgreplica.Lease, v hgplacer.Verdict)
 	// IsFull reports whether the replicas of a service are known to be too busy for a new program of a route's priority.
 	IsFull(service string, priority int) bool
 }
 
 // Suspects tracks requests that seem to crash the replicas that run them, across all entry VMs.
 type Suspects interface {
-	// Broke records that a replica's connection broke while it ran a request: a suspected crash.
-	Broke(r hgsuspect.Request)
-	// Unanswered records that a request had no complete response when its deadline passed or its caller disconnected. It
+	// RecordCrash records that a replica's connection broke while it ran a request: a suspected crash.
+	RecordCrash(r hgsuspect.Request)
+	// RecordUnanswered records that a request had no complete response when its deadline passed or its caller disconnected. It
 	// counts as a crash if the replica turns out to have ended.
-	Unanswered(r hgsuspect.Request, replica string)
-	// Ended records that a replica ran a request to completion.
-	Ended(r hgsuspect.Request)
+	RecordUnanswered(r hgsuspect.Request, replica string)
+	// RecordCompletion records that a replica ran a request to completion.
+	RecordCompletion(r hgsuspect.Request)
 	// Refused reports whether a request must not run, and for how much longer.
 	Refused(r hgsuspect.Request) (left time.Duration, refused bool)
 }
@@ -154,7 +154,7 @@
 	// status is the status code of the response that was passed on.
 	status int
 	// decision holds the figures by which the last replica was picked.
-	decision hgreplica.Why
+	decision hgreplica.Decision
 	// openTime is how long it took to open the turn, headTime how long the headers of the last replica's response took,
 	// and retainTime how long it took to store the turn.
 	openTime, headTime, retainTime time.Duration
--- a/internal/serve/hgentry/place.go
+++ b/internal/serve/hgentry/place.go
@@ -25,7 +25,7 @@
 		}
 		return l, nil
 	}
-	a := hgplacer.Ask{
+	a := hgplacer.PlaceRequest{
 		ID: x.attempt.ID, Want: w, Rank: x.rank(), Left: x.remaining(),
 		Wait: min(maxLeaseWait, time.Duration(leaseWaitShare*float64(x.remaining()))),
 	}
--- a/internal/serve/hgentry/plain.go
+++ b/internal/serve/hgentry/plain.go
@@ -46,7 +46,7 @@
 		return errors.Join(errAnswerLost, err)
 	}
 	if err != nil {
-		t.lease.Failed()
+		t.lease.MarkFailed()
 		x.recordCrash(t)
 		return errors.Join(errAnswerLost, err)
 	}
@@ -56,7 +56,7 @@
 		return errAnswerLost
 	}
 	if !t.answer.Failed {
-		x.entry.suspects.Ended(x.digests)
+		x.entry.suspects.RecordCompletion(x.digests)
 	}
 	x.copyHead(t.resp)
 	if x.r.Method != http.MethodHead {
--- a/internal/serve/hgentry/send.go
+++ b/internal/serve/hgentry/send.go
@@ -117,7 +117,7 @@
 	t.resp, err = t.lease.Client.Do(r)
 	if err != nil {
 		if x.r.Context().Err() == nil {
-			t.lease.Failed()
+			t.lease.MarkFailed()
 		}
 		if wrote.Load() {
 			x.sent++
@@ -129,8 +129,8 @@
 	t.answer = x.entry.dialect.DecodeAnswer(t.resp.StatusCode, t.resp.Header)
 	x.headTime = x.entry.timer.Now() - t.began
 	x.entry.metrics.Observe(string(x.route.Kind)+"Head", x.headTime)
-	t.lease.Answered(t.answer, x.headTime)
-	if t.answer.Leaving && t.lease.Leaves() {
+	t.lease.RecordAnswer(t.answer, x.headTime)
+	if t.answer.Leaving && t.lease.MarkLeaving() {
 		x.entry.log.Info("replica announced shutdown, sending it no new requests", "replica", t.lease.ID, "attempt", x.attempt.ID, "status", t.resp.StatusCode)
 	}
 	return x.checkAnswer(t)
@@ -139,11 +139,11 @@
 // recordCrash records a suspected crash of the replica. After the deadline or the caller's disconnect the connection breaks
 // in any case, so that only the end of the replica itself shows a crash.
 func (x *exchange) recordCrash(t *try) {
-	if x.ctx.Err() == nil || t.lease.HasEnded() {
-		x.entry.suspects.Broke(x.digests)
+	if x.ctx.Err() == nil || t.lease.ReplicaEnded() {
+		x.entry.suspects.RecordCrash(x.digests)
 		return
 	}
-	x.entry.suspects.Unanswered(x.digests, t.lease.ID)
+	x.entry.suspects.RecordUnanswered(x.digests, t.lease.ID)
 }
 
 // checkAnswer returns an error for refusals, for responses to other requests and for 2xx responses without a seal. Encoded
@@ -155,16 +155,16 @@
 	switch {
 	case t.answer.NotRun && !mismatched:
 		if t.resp.StatusCode == http.StatusMisdirectedRequest {
-			t.lease.Misdirected()
+			t.lease.MarkMisdirected()
 		}
 		// Drain the body, so that the connection can be reused.
 		if _, err := io.Copy(io.Discard, io.LimitReader(t.resp.Body, 4096)); err != nil {
-			t.lease.Failed()
+			t.lease.MarkFailed()
 		}
 		return errNotRun
 	case mismatched, t.resp.StatusCode/100 == 2 && !t.answer.Sealed, t.resp.Header.Get("Content-Encoding") != "":
 		x.sent++
-		t.lease.Failed()
+		t.lease.MarkFailed()
 		return errAnswerLost
 	}
 	x.sent++
--- a/internal/serve/hgentry/stream.go
+++ b/internal/serve/hgentry/stream.go
@@ -49,7 +49,7 @@
 	s := &stream{lastEvent: x.attempt.LastEvent}
 	want := hgreplica.Want{Service: x.service(), Exclude: map[string]bool{}, Prompt: x.attempt.TokensIn, Far: streamRemoteCost}
 	if engine := x.state.Services[want.Service].Engine; engine != nil {
-		want.Fetch = hgreplica.Fetch{Setup: fetchSetup, PerToken: engine.FetchPerToken, Charge: fetchCharge}
+		want.Fetch = hgreplica.FetchCost{Setup: fetchSetup, PerToken: engine.FetchPerToken, Charge: fetchCharge}
 	}
 	body := x.body
 	if x.turn != nil {
@@ -97,12 +97,12 @@
 			return err
 		}
 		if x.r.Context().Err() == nil {
-			t.lease.Failed()
+			t.lease.MarkFailed()
 		}
 		x.recordCrash(t)
 		return err
 	}
-	x.entry.suspects.Ended(x.digests)
+	x.entry.suspects.RecordCompletion(x.digests)
 	return nil
 }
 
--- a/internal/serve/hgentry/turn.go
+++ b/internal/serve/hgentry/turn.go
@@ -28,7 +28,7 @@
 func (x *exchange) openTurn() bool {
 	a := x.attempt
 	q := hgledger.OpenRequest{
-		Program: a.Program, Attempt: a.ID, Prompt: a.Prefix, Budget: a.Budget, HasBudget: a.HasBudget, Most: a.MostOut, Estimate: a.Estimate,
+		Program: a.Program, Attempt: a.ID, Prompt: a.Prefix, Budget: a.Budget, HasBudget: a.HasBudget, Most: a.MaxTokensOut, Estimate: a.Estimate,
 	}
 	q.NoNew = x.entry.placer.IsFull(x.service(), x.route.Priority)
 	if x.route.Retain {
--- a/internal/serve/hgowner/call.go
+++ b/internal/serve/hgowner/call.go
@@ -106,9 +106,9 @@
 
 // decide passes the call to the state machine and queues the records of the decision; the caller holds the shard's lock. While
 // commits fail, it answers only calls that are on record.
-func (o *Owner) decide(s *shard, c hgcall.Call, lim hgprogram.Limits) beginResult {
+func (o *Owner) decide(s *shard, c hgcall.Call, lim hgprogram.Defaults) beginResult {
 	if o.cfg.Journal.FailingFor() > storeFailureLimit {
-		d, ok := s.state.Known(c)
+		d, ok := s.state.DecideDuplicate(c)
 		if !ok {
 			d = hgprogram.Refuse{Refusal: errStoreUnreachable}
 		}
--- a/internal/serve/hgowner/dispatch.go
+++ b/internal/serve/hgowner/dispatch.go
@@ -73,7 +73,7 @@
 func toolResult(t hgendpoint.ToolResult) hgcall.Result {
 	r := hgcall.Result{State: hgcall.Done, Status: t.Status, Answer: t.Body}
 	if t.Status >= 400 {
-		r.State, r.Reason = hgcall.Failed, hgcall.ReasonEndpointFail
+		r.State, r.Reason = hgcall.Failed, hgcall.ReasonEndpointFailed
 	}
 	return r
 }
@@ -105,8 +105,8 @@
 	case de.Fenced:
 		return attemptResult{shardLost: true}
 	case !de.Sent:
-		ref := hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonEndpoint, notRunRetryAfter, "no connection to an endpoint for %q", j.c.Target)
-		e := j.abandonIfMayHaveRun(notRun(hgcall.ReasonEndpoint, ref))
+		ref := hgcall.NewRefusal(hgcall.KindNotRun, hgcall.ReasonEndpointUnavailable, notRunRetryAfter, "no connection to an endpoint for %q", j.c.Target)
+		e := j.abandonIfMayHaveRun(notRun(hgcall.ReasonEndpointUnavailable, ref))
 		e.exclude, e.unsent = g.Endpoint, true
 		return e
 	case j.c.Repeatable() && ctx.Err() != nil:
@@ -125,7 +125,7 @@
 	if err == nil && out.State == hgendpoint.OutcomeEnded {
 		return attemptResult{result: toolResult(out.Result)}
 	}
-	return attemptResult{result: hgcall.Result{State: hgcall.Unknown, Reason: hgcall.ReasonDispatched}}
+	return attemptResult{result: hgcall.Result{State: hgcall.Unknown, Reason: hgcall.ReasonOutcomeLost}}
 }
 
 // isAlive reports whether an endpoint answers a status request.
--- a/internal/serve/hgowner/job.go
+++ b/internal/serve/hgowner/job.go
@@ -261,7 +261,7 @@
 		return r, err
 	}
 	if e.abandon {
-		ref := hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonEndpointFail, outOfOrderRetryAfter, "the call's endpoint failed; ask again under the same identifier")
+		ref := hgcall.NewRefusal(hgcall.KindUnavailable, hgcall.ReasonEndpointFailed, outOfOrderRetryAfter, "the call's endpoint failed; ask again under the same identifier")
 		if e.refusal != nil {
 			ref.Reason, ref.Detail = e.refusal.Reason, e.refusal.Detail
 		}
--- a/internal/serve/hgowner/owner.go
+++ b/internal/serve/hgowner/owner.go
@@ -26,9 +26,9 @@
 	// Append queues records of a shard that is owned under the epoch; the journal reports their commit to the Owner.
 	Append(shard uint32, epoch uint64, recs []hgprogram.Record)
 	// Claim takes ownership of those shards whose rows have not changed since they were read, and returns their new rows.
-	Claim(ctx context.Context, node string, seen []hgjournal.SeenRow) (won []hgjournal.SeenRow, err error)
+	Claim(ctx context.Context, node string, seen []hgjournal.VersionedRow) (won []hgjournal.VersionedRow, err error)
 	// Hold starts committing records of a claimed shard whose last durable record is n.
-	Hold(claimed hgjournal.SeenRow, n uint64)
+	Hold(claimed hgjournal.VersionedRow, n uint64)
 	// Release gives up ownership of shards once their records are durable and returns those that were still owned.
 	Release(ctx context.Context, shards []uint32) (released []uint32, err error)
 	// FailingFor returns how long commits have failed without a success; 0 means that the store works.
@@ -162,10 +162,10 @@
 	}
 }
 
-func (o *Owner) limits() hgprogram.Limits {
+func (o *Owner) limits() hgprogram.Defaults {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return hgprogram.Limits{BudgetTokens: uint64(o.preset.DefaultBudgetTokens), MaxTokens: uint64(o.preset.DefaultMaxTokens)}
+	return hgprogram.Defaults{BudgetTokens: uint64(o.preset.DefaultBudgetTokens), MaxTokens: uint64(o.preset.DefaultMaxTokens)}
 }
 
 func (o *Owner) now() time.Duration { return o.cfg.Timer.Now() }
@@ -211,8 +211,8 @@
 	o.wg.Wait()
 }
 
-// Merge adds the suspect requests that a peer knows.
-func (o *Owner) Merge(suspects []hgquarantine.Suspect) {
+// MergeSuspects adds the suspect requests that a peer knows.
+func (o *Owner) MergeSuspects(suspects []hgquarantine.Suspect) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.quarantine.Merge(suspects, o.now())
--- a/internal/serve/hgowner/ownership.go
+++ b/internal/serve/hgowner/ownership.go
@@ -13,7 +13,7 @@
 )
 
 // Take claims the shards whose rows have not changed since they were read, recovers their programs and starts serving them.
-func (o *Owner) Take(ctx context.Context, seen []hgjournal.SeenRow) (err error) {
+func (o *Owner) Take(ctx context.Context, seen []hgjournal.VersionedRow) (err error) {
 	defer func() { err = trace.Wrap(err, "take ownership of %d shards", len(seen)) }()
 	won, err := o.cfg.Journal.Claim(ctx, o.cfg.Node, seen)
 	if err != nil || len(won) == 0 {
@@ -32,7 +32,7 @@
 }
 
 // serve starts serving a recovered shard and resolves the calls that its previous owner left without an outcome.
-func (o *Owner) serve(w hgjournal.SeenRow, state *hgprogram.Shard) {
+func (o *Owner) serve(w hgjournal.VersionedRow, state *hgprogram.Shard) {
 	s := o.shards[w.Shard]
 	o.cfg.Journal.Hold(w, state.N())
 	o.mu.Lock()
@@ -106,7 +106,7 @@
 		var orders []hgretain.Order
 		_, _ = s.update(o.cfg.Journal, epoch, func(st *hgprogram.Shard, k *hgretain.Keeper) []hgprogram.Record {
 			orders = k.Tick(now)
-			return st.Forget(now-o.cfg.Limits.Retain, now)
+			return st.EvictIdle(now-o.cfg.Limits.Retain, now)
 		})
 		o.sendOrders(s, epoch, orders)
 	}
@@ -152,8 +152,8 @@
 	}
 	var orders []hgretain.Order
 	_, _ = s.update(o.cfg.Journal, epoch, func(st *hgprogram.Shard, k *hgretain.Keeper) []hgprogram.Record {
-		k.Pressure(endpoint, share)
-		k.Holds(endpoint, tokens)
+		k.SetMemoryUse(endpoint, share)
+		k.SetContents(endpoint, tokens)
 		for program, n := range tokens {
 			sum, ok := st.Summary(program, o.now())
 			root, _ := st.Summary(hgcall.Root(program), o.now())
--- a/internal/serve/hgowner/place.go
+++ b/internal/serve/hgowner/place.go
@@ -92,7 +92,7 @@
 		Program: j.c.Program, Request: j.c.Request, Target: j.c.Service(),
 		New:    j.c.Seq == 1 && j.c.Root() == j.c.Program && j.c.Kind == hgcall.Model,
 		Served: j.plan.Served, Tokens: int(j.plan.Context + j.c.NewBytes()/bytesPerToken), Output: int(min(j.plan.MaxTokens, expectedOutput)),
-		Exclude: exclude, Alone: j.alone, Left: time.Until(deadline),
+		Exclude: exclude, Alone: j.alone, Remaining: time.Until(deadline),
 	}
 	if j.c.Kind == hgcall.Model {
 		r.Home, r.HomeTokens = j.s.prefixEndpoint(j.c.Program)
--- a/internal/serve/hgowner/resolve.go
+++ b/internal/serve/hgowner/resolve.go
@@ -66,7 +66,7 @@
 		case a.unrun && !started:
 			return r, true
 		case !a.pending || o.now() >= end || !o.sleep(resolveInterval):
-			return hgcall.Result{State: hgcall.Unknown, Reason: hgcall.ReasonDispatched}, false
+			return hgcall.Result{State: hgcall.Unknown, Reason: hgcall.ReasonOutcomeLost}, false
 		}
 	}
 }
--- a/internal/serve/hgowner/status.go
+++ b/internal/serve/hgowner/status.go
@@ -115,7 +115,7 @@
 	for _, s := range o.shards {
 		s.mu.Lock()
 		if s.keeper != nil {
-			s.keeper.Demand(sum)
+			s.keeper.AddDemand(sum)
 		}
 		s.mu.Unlock()
 	}
--- a/internal/serve/hgplacer/placer.go
+++ b/internal/serve/hgplacer/placer.go
@@ -23,8 +23,8 @@
 	NoReplica Verdict = "noReplica"
 )
 
-// Ask is a request for a place on a replica; nodes send it to the placer of their failure domain.
-type Ask struct {
+// PlaceRequest is a request for a place on a replica; nodes send it to the placer of their failure domain.
+type PlaceRequest struct {
 	// ID identifies this request for a place; it must be unique among all that the placer gets.
 	ID   string
 	Want hgreplica.Want
@@ -76,7 +76,7 @@
 }
 
 // Place waits for a place, for a.Wait at most and until ctx ends; the lease is nil unless the verdict is Granted.
-func (p *Placer) Place(ctx context.Context, a Ask) (l *hgreplica.Lease, v Verdict) {
+func (p *Placer) Place(ctx context.Context, a PlaceRequest) (l *hgreplica.Lease, v Verdict) {
 	if !p.set.HasAny(a.Want) {
 		return nil, NoReplica
 	}
@@ -102,7 +102,7 @@
 }
 
 // push adds a request to the queue of its service, unless it begins a program and the load is too high for new programs.
-func (p *Placer) push(a Ask) (granted chan *hgreplica.Lease, ok bool) {
+func (p *Placer) push(a PlaceRequest) (granted chan *hgreplica.Lease, ok bool) {
 	if a.Rank.New && IsFull(p.set.Load(a.Want.Service), a.Rank.Priority) {
 		return nil, false
 	}
@@ -136,7 +136,7 @@
 }
 
 // withdraw removes a request from the queue; it returns the lease if a place was granted meanwhile.
-func (p *Placer) withdraw(a Ask, granted chan *hgreplica.Lease) (l *hgreplica.Lease) {
+func (p *Placer) withdraw(a PlaceRequest, granted chan *hgreplica.Lease) (l *hgreplica.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiters, a.ID)
@@ -175,14 +175,14 @@
 }
 
 // Hold keeps the lease of another node's request until Leave is called for it or it is overdue.
-func (p *Placer) Hold(a Ask, l *hgreplica.Lease) {
+func (p *Placer) Hold(a PlaceRequest, l *hgreplica.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.held[a.ID] = heldLease{lease: l, until: p.timer.Now() + a.Left + overdueGrace}
 }
 
-// Leave ends another node's request: it removes the request from the queue, or applies o to its lease and releases it.
-func (p *Placer) Leave(id string, o hgreplica.Outcome) {
+// Release ends another node's request: it removes the request from the queue, or applies o to its lease and releases it.
+func (p *Placer) Release(id string, o hgreplica.Outcome) {
 	p.mu.Lock()
 	h, ok := p.held[id]
 	delete(p.held, id)
--- a/internal/serve/hgplacer/placer_test.go
+++ b/internal/serve/hgplacer/placer_test.go
@@ -51,16 +51,16 @@
 	timer := hgtimer.NewService()
 	t.Cleanup(timer.Close)
 	s := hgreplica.NewSet(timer, "north", func(time.Duration) *http.Client { return &http.Client{} })
-	entries := map[string]hgreplica.Entry{}
+	entries := map[string]hgreplica.Registration{}
 	for _, id := range replicas {
-		entries[id] = hgreplica.Entry{ID: id, Service: "s", Address: id + ":1", Domain: "north", Slots: slots}
+		entries[id] = hgreplica.Registration{ID: id, Service: "s", Address: id + ":1", Domain: "north", Slots: slots}
 	}
 	s.Apply(entries, 0)
 	return hgplacer.NewPlacer(s, timer), s
 }
 
-func ask(id string, wait time.Duration) hgplacer.Ask {
-	return hgplacer.Ask{ID: id, Want: hgreplica.Want{Service: "s"}, Wait: wait, Left: wait}
+func ask(id string, wait time.Duration) hgplacer.PlaceRequest {
+	return hgplacer.PlaceRequest{ID: id, Want: hgreplica.Want{Service: "s"}, Wait: wait, Left: wait}
 }
 
 // fill takes places until no more are granted, and returns their leases.
@@ -88,7 +88,7 @@
 	}{
 		"none ends":      {func() {}, hgplacer.Expired},
 		"one ends":       {leases[0].Release, hgplacer.Granted},
-		"another leaves": {func() { p.Leave("held", hgreplica.Outcome{Failed: true}) }, hgplacer.Granted},
+		"another leaves": {func() { p.Release("held", hgreplica.Outcome{Failed: true}) }, hgplacer.Granted},
 	}
 	p.Hold(ask("held", time.Minute), leases[1])
 	for name, tt := range tests {
@@ -103,7 +103,7 @@
 
 func TestPlaceRefuses(t *testing.T) {
 	p, s := newPlacer(t, "a")
-	if _, v := p.Place(t.Context(), hgplacer.Ask{ID: "x", Want: hgreplica.Want{Service: "other"}, Wait: time.Second}); v != hgplacer.NoReplica {
+	if _, v := p.Place(t.Context(), hgplacer.PlaceRequest{ID: "x", Want: hgreplica.Want{Service: "other"}, Wait: time.Second}); v != hgplacer.NoReplica {
 		t.Errorf("no replica: %s", v)
 	}
 	first := ask("first", 20*time.Millisecond)
@@ -124,7 +124,7 @@
 	if _, v := p.Place(ctx, ask("left", time.Minute)); v != hgplacer.Expired {
 		t.Errorf("caller that left: %s", v)
 	}
-	s.Apply(map[string]hgreplica.Entry{"b": {ID: "b", Service: "s", Domain: "north", Slots: slots}}, 0)
+	s.Apply(map[string]hgreplica.Registration{"b": {ID: "b", Service: "s", Domain: "north", Slots: slots}}, 0)
 	if _, v := p.Place(t.Context(), ask("later", time.Minute)); v != hgplacer.Granted {
 		t.Errorf("a new replica: %s", v)
 	}
@@ -134,7 +134,7 @@
 func TestOverdue(t *testing.T) {
 	p, s := newPlacer(t, "a")
 	l, _ := p.Place(t.Context(), ask("gone", time.Second))
-	p.Hold(hgplacer.Ask{ID: "gone", Left: 10 * time.Millisecond}, l)
+	p.Hold(hgplacer.PlaceRequest{ID: "gone", Left: 10 * time.Millisecond}, l)
 	for deadline := time.Now().Add(3 * time.Second); len(s.InFlight()) > 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("still held: %v", s.InFlight())
@@ -148,16 +148,16 @@
 			timer := hgtimer.NewService()
 			defer timer.Close()
 			s := hgreplica.NewSet(timer, "north", func(time.Duration) *http.Client { return &http.Client{} })
-			entries := map[string]hgreplica.Entry{}
+			entries := map[string]hgreplica.Registration{}
 			for i := range replicas {
 				id := fmt.Sprint(i)
-				entries[id] = hgreplica.Entry{ID: id, Service: "s", Address: id, Domain: "north", Slots: 8}
+				entries[id] = hgreplica.Registration{ID: id, Service: "s", Address: id, Domain: "north", Slots: 8}
 			}
 			s.Apply(entries, 0)
 			p := hgplacer.NewPlacer(s, timer)
 			a := ask("a", time.Second)
 			a.Want.Prompt, a.Want.Kept = 2000, map[string]int{"1": 1500, "2": 800}
-			a.Want.Fetch = hgreplica.Fetch{Setup: time.Millisecond, PerToken: time.Microsecond}
+			a.Want.Fetch = hgreplica.FetchCost{Setup: time.Millisecond, PerToken: time.Microsecond}
 			for b.Loop() {
 				l, v := p.Place(b.Context(), a)
 				if v != hgplacer.Granted {
--- a/internal/serve/hgreplica/fetch.go
+++ b/internal/serve/hgreplica/fetch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Fetch is the cost of fetching cached prompt tokens from another replica; a PerToken of 0 disables fetching.
-type Fetch struct {
+// FetchCost is the cost of fetching cached prompt tokens from another replica; a PerToken of 0 disables fetching.
+type FetchCost struct {
 	// Setup is the time that each fetch takes, and PerToken the time that each of its tokens adds.
 	Setup, PerToken time.Duration
 	// Charge is added for each token: the price of moving its cached memory, expressed as request time.
--- a/internal/serve/hgreplica/lease.go
+++ b/internal/serve/hgreplica/lease.go
@@ -16,7 +16,7 @@
 	// FetchFrom is the address of the replica to fetch cached prompt tokens from; empty if nothing is to be fetched.
 	FetchFrom string
 	// Why holds the figures for which the replica was picked.
-	Why     Why
+	Why     Decision
 	set     *Set
 	replica *replica
 	once    sync.Once
@@ -35,8 +35,8 @@
 	// Held the time from there to the release.
 	Answered   bool
 	Took, Held time.Duration
-	// Errored says that the replica ran the request and answered with a failure. Failed and Misdirected say that the methods
-	// of Lease with these names were called.
+	// Errored says that the replica ran the request and answered with a failure. Failed and Misdirected say that the lease was
+	// marked so with MarkFailed and MarkMisdirected.
 	Errored, Failed, Misdirected bool
 	// Leaving says that the replica announced that it is leaving.
 	Leaving bool
@@ -45,7 +45,7 @@
 // Adopt returns a lease for a place that another node granted. That node counts the request as in flight, so this one does
 // not; released is called with the outcome and must report it there. ok is false if this node knows that the replica is
 // gone, leaving or misdirected.
-func (s *Set) Adopt(id, fetchFrom string, why Why, released func(o Outcome)) (l *Lease, ok bool) {
+func (s *Set) Adopt(id, fetchFrom string, why Decision, released func(o Outcome)) (l *Lease, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.replicas[id]
@@ -57,8 +57,8 @@
 	}, true
 }
 
-// HasEnded reports whether the replica has ended or restarted since the lease was granted.
-func (l *Lease) HasEnded() bool {
+// ReplicaEnded reports whether the replica has ended or restarted since the lease was granted.
+func (l *Lease) ReplicaEnded() bool {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	return l.set.replicas[l.ID] != l.replica
@@ -70,17 +70,17 @@
 // Apply records the outcome that the holder on another node reported, and releases the lease.
 func (l *Lease) Apply(o Outcome) {
 	if o.Answered || o.Errored {
-		l.Answered(hgattempt.Answer{Failed: o.Errored}, o.Took)
+		l.RecordAnswer(hgattempt.Answer{Failed: o.Errored}, o.Took)
 		l.answered = l.set.timer.Now() - o.Held
 	}
 	if o.Failed {
-		l.Failed()
+		l.MarkFailed()
 	}
 	if o.Misdirected {
-		l.Misdirected()
+		l.MarkMisdirected()
 	}
 	if o.Leaving {
-		l.Leaves()
+		l.MarkLeaving()
 	}
 	l.Release()
 }
@@ -107,14 +107,14 @@
 	}
 }
 
-// Answered records the head of an answer and the time to its first byte.
-func (l *Lease) Answered(a hgattempt.Answer, took time.Duration) {
+// RecordAnswer records the head of an answer and the time to its first byte.
+func (l *Lease) RecordAnswer(a hgattempt.Answer, took time.Duration) {
 	now := l.set.timer.Now()
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	r := l.replica
-	if a.KeepsIdle > 0 {
-		l.set.keepIdle(r, a.KeepsIdle)
+	if a.IdleTimeout > 0 {
+		l.set.keepIdle(r, a.IdleTimeout)
 	}
 	if a.HasLoad {
 		r.reported, r.reportedAt = max(a.Running+a.Waiting-r.inFlight, 0), now
@@ -138,8 +138,8 @@
 	r.delayAt = now
 }
 
-// Failed records that the replica broke off or could not be reached.
-func (l *Lease) Failed() {
+// MarkFailed records that the replica broke off or could not be reached.
+func (l *Lease) MarkFailed() {
 	now := l.set.timer.Now()
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
@@ -148,17 +148,17 @@
 	l.replica.addFailures(now, 1)
 }
 
-// Leaves records that the replica announced that it is leaving, so that it gets no new requests until it has restarted. news
+// MarkLeaving records that the replica announced that it is leaving, so that it gets no new requests until it has restarted. news
 // is false if this node knew that already.
-func (l *Lease) Leaves() (news bool) {
+func (l *Lease) MarkLeaving() (news bool) {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	l.outcome.Leaving = true
 	return l.set.markLeaving(l.replica)
 }
 
-// Misdirected records that another replica has taken over the address; this one is not used again.
-func (l *Lease) Misdirected() {
+// MarkMisdirected records that another replica has taken over the address; this one is not used again.
+func (l *Lease) MarkMisdirected() {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	l.outcome.Misdirected = true
--- a/internal/serve/hgreplica/leaving.go
+++ b/internal/serve/hgreplica/leaving.go
@@ -13,9 +13,9 @@
 	maxAnnouncements = 1000
 )
 
-// Lifetime identifies one incarnation of a replica: ID is its identifier, and Born the start of its process. Incarnations
+// Incarnation identifies one incarnation of a replica: ID is its identifier, and Born the start of its process. Incarnations
 // with an empty Born cannot be told apart.
-type Lifetime struct{ ID, Born string }
+type Incarnation struct{ ID, Born string }
 
 // isLeaving reports whether the replica takes no new requests, by its registration or by its own announcement.
 func (r *replica) isLeaving() bool { return r.Leaving || r.announcedLeaving }
@@ -32,21 +32,21 @@
 	}
 	now := s.timer.Now()
 	if len(s.announced) >= maxAnnouncements {
-		maps.DeleteFunc(s.announced, func(_ Lifetime, at time.Duration) bool { return now-at > announcementTTL })
+		maps.DeleteFunc(s.announced, func(_ Incarnation, at time.Duration) bool { return now-at > announcementTTL })
 	}
-	s.announced[Lifetime{r.ID, r.Born}] = now
+	s.announced[Incarnation{r.ID, r.Born}] = now
 	return true
 }
 
 // hasAnnouncedLeaving reports whether the incarnation of a registration has announced that it is leaving; s.mu is held.
-func (s *Set) hasAnnouncedLeaving(e Entry) bool {
-	_, ok := s.announced[Lifetime{e.ID, e.Born}]
+func (s *Set) hasAnnouncedLeaving(e Registration) bool {
+	_, ok := s.announced[Incarnation{e.ID, e.Born}]
 	return ok
 }
 
-// SaidLeaving returns the incarnations of registered replicas that announced to this node or to a peer that they are leaving,
+// LeavingIncarnations returns the incarnations of registered replicas that announced to this node or to a peer that they are leaving,
 // unless their registrations say so as well.
-func (s *Set) SaidLeaving() (incarnations []Lifetime) {
+func (s *Set) LeavingIncarnations() (incarnations []Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.announced {
@@ -57,8 +57,8 @@
 	return incarnations
 }
 
-// HearLeaving merges the incarnations that a peer knows to be leaving; those that are not registered here are ignored.
-func (s *Set) HearLeaving(incarnations []Lifetime) {
+// MergeLeaving merges the incarnations that a peer knows to be leaving; those that are not registered here are ignored.
+func (s *Set) MergeLeaving(incarnations []Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range incarnations {
--- a/internal/serve/hgreplica/set.go
+++ b/internal/serve/hgreplica/set.go
@@ -12,8 +12,8 @@
 	"hyssopgrade/hgtimer"
 )
 
-// Entry is the registration of a replica.
-type Entry struct {
+// Registration is the registration of a replica.
+type Registration struct {
 	ID      string
 	Service string
 	// Address is the IP address and port that serve requests.
@@ -31,7 +31,7 @@
 }
 
 type replica struct {
-	Entry
+	Registration
 	client *http.Client
 	// idle is how long the client keeps unused connections open.
 	idle time.Duration
@@ -69,7 +69,7 @@
 	// byService groups the same replicas by service.
 	byService map[string][]*replica
 	// announced holds the time at which each incarnation was first known to be leaving by its announcement.
-	announced map[Lifetime]time.Duration
+	announced map[Incarnation]time.Duration
 	// onEnd is called for each replica that ended or restarted without having been known to be leaving.
 	onEnd func(id string)
 	// holds is the moving average of how long requests of each service hold a slot after their first byte, in nanoseconds.
@@ -79,7 +79,7 @@
 // NewSet returns an empty set for a node in a failure domain; newClient makes the client of a replica, which keeps unused
 // connections open for idle.
 func NewSet(timer hgtimer.Timer, domain string, newClient func(idle time.Duration) *http.Client) *Set {
-	return &Set{timer: timer, domain: domain, newClient: newClient, replicas: map[string]*replica{}, announced: map[Lifetime]time.Duration{}, holds: map[string]float64{}}
+	return &Set{timer: timer, domain: domain, newClient: newClient, replicas: map[string]*replica{}, announced: map[Incarnation]time.Duration{}, holds: map[string]float64{}}
 }
 
 // OnEnd sets the function that is called for each replica that ended or restarted without having been known to be leaving.
@@ -88,7 +88,7 @@
 
 // Apply replaces the registrations. lapse is the time that is left for replicas to register again after an outage of the
 // store, or 0; until it has passed, replicas without a registration stay usable.
-func (s *Set) Apply(entries map[string]Entry, lapse time.Duration) {
+func (s *Set) Apply(entries map[string]Registration, lapse time.Duration) {
 	for _, id := range s.replace(entries, lapse) {
 		if s.onEnd != nil {
 			s.onEnd(id)
@@ -97,7 +97,7 @@
 }
 
 // replace updates the replicas and returns the IDs of those that ended or restarted without having been known to be leaving.
-func (s *Set) replace(entries map[string]Entry, lapse time.Duration) (ended []string) {
+func (s *Set) replace(entries map[string]Registration, lapse time.Duration) (ended []string) {
 	now := s.timer.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,16 +127,16 @@
 
 // apply updates a replica from its registration and reports whether it restarted without having been known to be leaving;
 // s.mu is held.
-func (s *Set) apply(id string, e Entry) (restarted bool) {
+func (s *Set) apply(id string, e Registration) (restarted bool) {
 	r, ok := s.replicas[id]
 	if !ok || r.Born != e.Born || r.Address != e.Address || r.Service != e.Service {
 		if ok {
 			r.client.CloseIdleConnections()
 		}
-		s.replicas[id] = &replica{Entry: e, client: s.newClient(defaultIdle), idle: defaultIdle, announcedLeaving: s.hasAnnouncedLeaving(e)}
+		s.replicas[id] = &replica{Registration: e, client: s.newClient(defaultIdle), idle: defaultIdle, announcedLeaving: s.hasAnnouncedLeaving(e)}
 		return ok && !r.isLeaving()
 	}
-	r.Entry = e
+	r.Registration = e
 	r.lapsesAt = 0
 	return false
 }
@@ -171,13 +171,13 @@
 	// Far is the cost of a replica in another failure domain.
 	Far time.Duration
 	// Fetch is the cost of fetching cached prompt tokens from another replica.
-	Fetch Fetch
+	Fetch FetchCost
 	// Window bounds the requests in flight on a replica, as a multiple of its slots; 0 means no bound.
 	Window float64
 }
 
-// Why holds the figures for which a replica was picked; they are logged with the request.
-type Why struct {
+// Decision holds the figures for which a replica was picked; they are logged with the request.
+type Decision struct {
 	// Miss and Fetch are the prompt tokens that the replica has to read and to fetch. Own and All are the requests in flight
 	// there, of the node that picked and of all nodes.
 	Miss, Fetch, Own, All int
@@ -198,7 +198,7 @@
 	baseline := s.baseline(w.Service)
 	sources := s.sources(w, now)
 	var best *replica
-	var why Why
+	var why Decision
 	var from *replica
 	of := 0
 	least := time.Duration(math.MaxInt64)
@@ -218,7 +218,7 @@
 		// A small random part spreads the picks that nodes make at the same time from the same load reports.
 		if c := v.cost() + time.Duration(rand.Int64N(int64(2*time.Millisecond))); c < least {
 			best, from, least = r, source, c
-			why = Why{Miss: v.missTokens, Fetch: v.fetchTokens, Own: r.inFlight, All: v.inFlight, ReportAge: now - r.reportedAt, Cost: c}
+			why = Decision{Miss: v.missTokens, Fetch: v.fetchTokens, Own: r.inFlight, All: v.inFlight, ReportAge: now - r.reportedAt, Cost: c}
 		}
 		of++
 	}
@@ -324,8 +324,8 @@
 	return n
 }
 
-// SetGossip replaces the number of requests that the peers have in flight on each replica, as their heartbeats say.
-func (s *Set) SetGossip(n map[string]int) {
+// SetPeerInFlight replaces the number of requests that the peers have in flight on each replica, as their heartbeats say.
+func (s *Set) SetPeerInFlight(n map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, r := range s.replicas {
--- a/internal/serve/hgreplica/set_test.go
+++ b/internal/serve/hgreplica/set_test.go
@@ -21,19 +21,19 @@
 
 func (c *clock) Now() time.Duration { return c.now }
 
-func newSet(entries ...hgreplica.Entry) (*hgreplica.Set, *clock) {
+func newSet(entries ...hgreplica.Registration) (*hgreplica.Set, *clock) {
 	c := &clock{now: time.Minute}
 	s := hgreplica.NewSet(c, "north", func(time.Duration) *http.Client { return &http.Client{} })
 	s.Apply(byID(entries), 0)
 	return s, c
 }
 
-func byID(entries []hgreplica.Entry) map[string]hgreplica.Entry {
-	return lo.KeyBy(entries, func(e hgreplica.Entry) string { return e.ID })
+func byID(entries []hgreplica.Registration) map[string]hgreplica.Registration {
+	return lo.KeyBy(entries, func(e hgreplica.Registration) string { return e.ID })
 }
 
-func entry(id, domain string) hgreplica.Entry {
-	return hgreplica.Entry{ID: id, Service: "s", Address: id + ":1", Domain: domain, Slots: 4}
+func entry(id, domain string) hgreplica.Registration {
+	return hgreplica.Registration{ID: id, Service: "s", Address: id + ":1", Domain: domain, Slots: 4}
 }
 
 // picks takes n leases at once, releases them, and returns how many went to each replica.
@@ -57,33 +57,33 @@
 	leaving := entry("b", "north")
 	leaving.Leaving = true
 	tests := map[string]struct {
-		entries []hgreplica.Entry
+		entries []hgreplica.Registration
 		want    hgreplica.Want
 		n       int
 		check   func(n map[string]int) bool
 	}{
 		"load is spread": {
-			[]hgreplica.Entry{entry("a", "north"), entry("b", "north")}, hgreplica.Want{}, 8,
+			[]hgreplica.Registration{entry("a", "north"), entry("b", "north")}, hgreplica.Want{}, 8,
 			func(n map[string]int) bool { return n["a"] == 4 && n["b"] == 4 },
 		},
 		"a leaving one gets nothing": {
-			[]hgreplica.Entry{entry("a", "north"), leaving}, hgreplica.Want{}, 8,
+			[]hgreplica.Registration{entry("a", "north"), leaving}, hgreplica.Want{}, 8,
 			func(n map[string]int) bool { return n["b"] == 0 && n["a"] == 8 },
 		},
 		"what is kept of the prompt decides": {
-			[]hgreplica.Entry{entry("a", "north"), entry("b", "north")}, hgreplica.Want{Prompt: 3000, Kept: map[string]int{"b": 2800}}, 3,
+			[]hgreplica.Registration{entry("a", "north"), entry("b", "north")}, hgreplica.Want{Prompt: 3000, Kept: map[string]int{"b": 2800}}, 3,
 			func(n map[string]int) bool { return n["b"] == 3 },
 		},
 		"until its places are taken": {
-			[]hgreplica.Entry{entry("a", "north"), entry("b", "north")}, hgreplica.Want{Prompt: 1000, Kept: map[string]int{"b": 900}}, 16,
+			[]hgreplica.Registration{entry("a", "north"), entry("b", "north")}, hgreplica.Want{Prompt: 1000, Kept: map[string]int{"b": 900}}, 16,
 			func(n map[string]int) bool { return n["a"] > 0 },
 		},
 		"near ones first": {
-			[]hgreplica.Entry{entry("a", "south"), entry("b", "north")}, hgreplica.Want{Far: 25 * time.Millisecond}, 3,
+			[]hgreplica.Registration{entry("a", "south"), entry("b", "north")}, hgreplica.Want{Far: 25 * time.Millisecond}, 3,
 			func(n map[string]int) bool { return n["b"] == 3 },
 		},
 		"none left": {
-			[]hgreplica.Entry{entry("a", "north")}, hgreplica.Want{Exclude: map[string]bool{"a": true}}, 1,
+			[]hgreplica.Registration{entry("a", "north")}, hgreplica.Want{Exclude: map[string]bool{"a": true}}, 1,
 			func(n map[string]int) bool { return len(n) == 0 },
 		},
 	}
@@ -100,8 +100,8 @@
 // A slow or failing replica is avoided after a few answers, and tried again after some seconds.
 func TestAvoidance(t *testing.T) {
 	tests := map[string]func(l *hgreplica.Lease){
-		"slow":    func(l *hgreplica.Lease) { l.Answered(hgattempt.Answer{}, 400*time.Millisecond) },
-		"failing": func(l *hgreplica.Lease) { l.Failed() },
+		"slow":    func(l *hgreplica.Lease) { l.RecordAnswer(hgattempt.Answer{}, 400*time.Millisecond) },
+		"failing": func(l *hgreplica.Lease) { l.MarkFailed() },
 	}
 	for name, spoil := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 				if l.ID == "a" {
 					spoil(l)
 				} else {
-					l.Answered(hgattempt.Answer{}, 20*time.Millisecond)
+					l.RecordAnswer(hgattempt.Answer{}, 20*time.Millisecond)
 				}
 				l.Release()
 			}
@@ -132,8 +132,8 @@
 // Replicas whose registrations lapsed during an outage of the store stay usable for the time that is left to register again,
 // which is two seconds at most.
 func TestLapsedRegistration(t *testing.T) {
-	both := byID([]hgreplica.Entry{entry("a", "north"), entry("b", "north")})
-	one := byID([]hgreplica.Entry{entry("a", "north")})
+	both := byID([]hgreplica.Registration{entry("a", "north"), entry("b", "north")})
+	one := byID([]hgreplica.Registration{entry("a", "north")})
 	tests := map[string]struct {
 		lapse  time.Duration
 		after  time.Duration
@@ -164,14 +164,14 @@
 // Cached prompt tokens are fetched from the replica that has the most of them, unless running there or reading them anew
 // costs less.
 func TestFetch(t *testing.T) {
-	fetch := hgreplica.Fetch{Setup: time.Millisecond, PerToken: time.Microsecond / 2, Charge: 10 * time.Microsecond}
+	fetch := hgreplica.FetchCost{Setup: time.Millisecond, PerToken: time.Microsecond / 2, Charge: 10 * time.Microsecond}
 	expensive := fetch
 	expensive.Charge = time.Millisecond
 	leaving := entry("b", "north")
 	leaving.Leaving = true
 	tests := map[string]struct {
-		b        hgreplica.Entry
-		fetch    hgreplica.Fetch
+		b        hgreplica.Registration
+		fetch    hgreplica.FetchCost
 		kept     map[string]int
 		busy     int
 		id, from string
@@ -181,13 +181,13 @@
 		"busy where it is kept":   {entry("b", "north"), fetch, map[string]int{"b": 9000}, 40, "a", "b:1", 1000},
 		"part of it here as well": {entry("b", "north"), fetch, map[string]int{"b": 9000, "a": 4000}, 40, "a", "b:1", 1000},
 		"fetching is dear":        {entry("b", "north"), expensive, map[string]int{"b": 9000}, 400, "a", "", 10000},
-		"no fetching":             {entry("b", "north"), hgreplica.Fetch{}, map[string]int{"b": 9000}, 400, "a", "", 10000},
+		"no fetching":             {entry("b", "north"), hgreplica.FetchCost{}, map[string]int{"b": 9000}, 400, "a", "", 10000},
 		"kept by one that leaves": {leaving, fetch, map[string]int{"b": 9000}, 0, "a", "", 10000},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s, _ := newSet(entry("a", "north"), tt.b)
-			s.SetGossip(map[string]int{"b": tt.busy})
+			s.SetPeerInFlight(map[string]int{"b": tt.busy})
 			l, ok := s.Pick(hgreplica.Want{Service: "s", Prompt: 10000, Kept: tt.kept, Fetch: tt.fetch})
 			if !ok || l.ID != tt.id || l.FetchFrom != tt.from || l.Why.Miss != tt.miss {
 				t.Errorf("placed on %s fetching from %q, %d to read", l.ID, l.FetchFrom, l.Why.Miss)
@@ -200,19 +200,19 @@
 func TestAdopt(t *testing.T) {
 	s, c := newSet(entry("a", "north"))
 	var got hgreplica.Outcome
-	l, ok := s.Adopt("a", "b:1", hgreplica.Why{}, func(o hgreplica.Outcome) { got = o })
+	l, ok := s.Adopt("a", "b:1", hgreplica.Decision{}, func(o hgreplica.Outcome) { got = o })
 	if !ok || l.FetchFrom != "b:1" || len(s.InFlight()) != 0 {
 		t.Fatalf("adopted %v, in flight %v", ok, s.InFlight())
 	}
-	l.Answered(hgattempt.Answer{}, 30*time.Millisecond)
+	l.RecordAnswer(hgattempt.Answer{}, 30*time.Millisecond)
 	c.now += 200 * time.Millisecond
-	l.Failed()
+	l.MarkFailed()
 	l.Release()
 	want := hgreplica.Outcome{Answered: true, Took: 30 * time.Millisecond, Held: 200 * time.Millisecond, Failed: true}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("outcome (-want +got):\n%s", diff)
 	}
-	if _, ok := s.Adopt("gone", "", hgreplica.Why{}, nil); ok {
+	if _, ok := s.Adopt("gone", "", hgreplica.Decision{}, nil); ok {
 		t.Error("adopted a lease on an unknown replica")
 	}
 }
@@ -239,11 +239,11 @@
 			s, c := newSet(entry("a", "north"))
 			for _, a := range tt.answers {
 				l, _ := s.Pick(hgreplica.Want{Service: "s"})
-				l.Answered(a, time.Millisecond)
+				l.RecordAnswer(a, time.Millisecond)
 				l.Release()
 			}
 			c.now += tt.after
-			s.Apply(byID([]hgreplica.Entry{entry("a", "north"), entry("b", "north")}), 0)
+			s.Apply(byID([]hgreplica.Registration{entry("a", "north"), entry("b", "north")}), 0)
 			if n := picks(s, hgreplica.Want{}, 6)["a"]; (n > 1) != tt.draws {
 				t.Errorf("%d of 6 requests go there", n)
 			}
--- a/internal/serve/hgsched/pool.go
+++ b/internal/serve/hgsched/pool.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return g, c, err
 	}
-	timer := time.NewTimer(r.Left)
+	timer := time.NewTimer(r.Remaining)
 	defer timer.Stop()
 	select {
 	case got := <-w.granted:
@@ -83,7 +83,7 @@
 	queue := p.queue(r.Target)
 	p.lastID++
 	id = p.lastID
-	v := queue.Push(hgadmit.Waiting{ID: id, New: r.New, Served: r.Served, Since: now}, r.Left, now)
+	v := queue.Push(hgadmit.Waiting{ID: id, New: r.New, Served: r.Served, Since: now}, r.Remaining, now)
 	if v.Refused {
 		return 0, nil, overloadRefusal(r, v)
 	}
@@ -213,7 +213,7 @@
 	now := p.o.now()
 	for i := range p.router.Len() {
 		id := p.router.Endpoint(i).ID
-		p.router.PeerLoad(i, peer, calls[id], tokens[id], now)
+		p.router.SetPeerLoad(i, peer, calls[id], tokens[id], now)
 	}
 	p.dispatchAll(now)
 }
--- a/internal/serve/hgsched/scheduler.go
+++ b/internal/serve/hgsched/scheduler.go
@@ -31,8 +31,8 @@
 	Exclude string
 	// Alone requires an endpoint that runs no other call of this node.
 	Alone bool
-	// Left is the time left until the call's deadline.
-	Left time.Duration
+	// Remaining is the time left until the call's deadline.
+	Remaining time.Duration
 }
 
 // Grant is a slot on an endpoint, held by one call until Done.
@@ -131,8 +131,8 @@
 	}
 }
 
-// PeerLoads sets a peer's calls in flight and the tokens that the peer's live programs hold, by endpoint.
-func (s *Scheduler) PeerLoads(peer string, calls, tokens map[string]int) {
+// SetPeerLoads sets a peer's calls in flight and the tokens that the peer's live programs hold, by endpoint.
+func (s *Scheduler) SetPeerLoads(peer string, calls, tokens map[string]int) {
 	for _, pl := range s.pools {
 		pl.peerLoads(peer, calls, tokens)
 	}
--- a/internal/serve/hgsuspect/exchange.go
+++ b/internal/serve/hgsuspect/exchange.go
@@ -84,8 +84,8 @@
 	return offer
 }
 
-// Answer merges a peer's offer and returns the answer to send back.
-func (l *List) Answer(name string, offer Exchange) Exchange {
+// HandleOffer merges a peer's offer and returns the answer to send back.
+func (l *List) HandleOffer(name string, offer Exchange) Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.merge(name, offer.Records)
@@ -100,8 +100,8 @@
 	return answer
 }
 
-// Take merges a peer's answer to an offer.
-func (l *List) Take(name string, answer Exchange) {
+// HandleAnswer merges a peer's answer to an offer.
+func (l *List) HandleAnswer(name string, answer Exchange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peer(name)
--- a/internal/serve/hgsuspect/exchange_test.go
+++ b/internal/serve/hgsuspect/exchange_test.go
@@ -19,8 +19,8 @@
 	if lostOffer {
 		return
 	}
-	if answer := to.Answer(fromName, offer); !lostAnswer {
-		from.Take(toName, answer)
+	if answer := to.HandleOffer(fromName, offer); !lostAnswer {
+		from.HandleAnswer(toName, answer)
 	}
 }
 
@@ -56,7 +56,7 @@
 		crashes := map[uint64]int{}
 		for range 40 {
 			digest := uint64(r.IntN(4))
-			lists[r.IntN(2)].Broke(request(digest))
+			lists[r.IntN(2)].RecordCrash(request(digest))
 			crashes[digest]++
 			c.now += 10 * time.Millisecond
 			if r.IntN(3) == 0 {
@@ -78,7 +78,7 @@
 			if offer := lists[i].Offer("new"); len(offer.Records) > 0 && i > 1 {
 				t.Errorf("seed %d: the offer of list %d has %d changes made at other lists", seed, i, len(offer.Records))
 			}
-			answer := lists[i].Answer("agrees", lists[(i+1)%4].Offer("agrees"))
+			answer := lists[i].HandleOffer("agrees", lists[(i+1)%4].Offer("agrees"))
 			if len(answer.Records) > 0 {
 				t.Errorf("seed %d: the answer between equal lists has %d records", seed, len(answer.Records))
 			}
@@ -90,20 +90,20 @@
 func TestProofClearsEverywhere(t *testing.T) {
 	c := &clock{now: time.Minute}
 	a, b := hgsuspect.NewList(c, hglog.Discard()), hgsuspect.NewList(c, hglog.Discard())
-	a.Broke(request(1))
-	b.Broke(request(1))
+	a.RecordCrash(request(1))
+	b.RecordCrash(request(1))
 	exchange(a, b, "a", "b", false, false)
 	c.now += time.Second
-	a.Ended(request(1))
+	a.RecordCompletion(request(1))
 	exchange(b, a, "b", "a", false, false)
 	c.now += 3 * time.Second
 	for range 2 {
-		b.Broke(request(1))
+		b.RecordCrash(request(1))
 	}
 	if _, refused := b.Refused(request(1)); refused {
 		t.Error("refused after two crashes since the proof")
 	}
-	b.Broke(request(1))
+	b.RecordCrash(request(1))
 	if _, refused := b.Refused(request(1)); !refused {
 		t.Error("not refused after three crashes since the proof")
 	}
@@ -116,7 +116,7 @@
 	const requests = 900
 	for digest := range uint64(requests) {
 		for range 3 {
-			a.Broke(request(digest))
+			a.RecordCrash(request(digest))
 		}
 	}
 	for range 10 {
@@ -133,15 +133,15 @@
 func TestRowsOutliveAllLists(t *testing.T) {
 	c := &clock{now: time.Minute}
 	before := hgsuspect.NewList(c, hglog.Discard())
-	before.Broke(request(1))
+	before.RecordCrash(request(1))
 	if records := before.Unsaved(false, 10); len(records) > 0 {
 		t.Errorf("a single crash is to be saved: %v", records)
 	}
 	if records := before.Unsaved(true, 10); len(records) != 2 {
 		t.Errorf("%d records of an isolated list, want those of content and caller", len(records))
 	}
-	before.Broke(request(1))
-	before.Broke(request(1))
+	before.RecordCrash(request(1))
+	before.RecordCrash(request(1))
 	records := before.Unsaved(false, 10)
 	before.Saved(records)
 	if again := before.Unsaved(false, 10); len(again) > 0 {
@@ -151,7 +151,7 @@
 	after := hgsuspect.NewList(c, hglog.Discard())
 	var loaded []hgsuspect.Record
 	for _, r := range records {
-		loaded = append(loaded, hgsuspect.RowOf(r, now).Record(now.Add(time.Second)))
+		loaded = append(loaded, hgsuspect.NewRow(r, now).Record(now.Add(time.Second)))
 	}
 	if diff := cmp.Diff(records, loaded, cmpopts.IgnoreFields(hgsuspect.Crash{}, "Age"), cmpopts.IgnoreFields(hgsuspect.Proof{}, "Age")); diff != "" {
 		t.Errorf("records (-want +got):\n%s", diff)
@@ -170,7 +170,7 @@
 				c := &clock{now: time.Minute}
 				from, to := hgsuspect.NewList(c, hglog.Discard()), hgsuspect.NewList(c, hglog.Discard())
 				for n := range requests {
-					from.Broke(request(n))
+					from.RecordCrash(request(n))
 				}
 				for range 1 + 2*requests/100 {
 					exchange(from, to, "from", "to", false, false)
@@ -179,7 +179,7 @@
 				b.ResetTimer()
 				for range b.N {
 					for n := range changed {
-						from.Broke(request(uint64(n)))
+						from.RecordCrash(request(uint64(n)))
 					}
 					exchange(from, to, "from", "to", false, false)
 				}
--- a/internal/serve/hgsuspect/list.go
+++ b/internal/serve/hgsuspect/list.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Broke records a suspected crash: a replica's connection broke while it ran a request. While the service is failing, the crash is
+// RecordCrash records a suspected crash: a replica's connection broke while it ran a request. While the service is failing, the crash is
 // recorded as excused, and only under the digest that includes the caller.
-func (l *List) Broke(r Request) {
+func (l *List) RecordCrash(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
@@ -78,8 +78,8 @@
 	}
 }
 
-// Ended records that a replica ran a request to completion, which proves it harmless: earlier crashes no longer count.
-func (l *List) Ended(r Request) {
+// RecordCompletion records that a replica ran a request to completion, which proves it harmless: earlier crashes no longer count.
+func (l *List) RecordCompletion(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timer.Now()
--- a/internal/serve/hgsuspect/list_test.go
+++ b/internal/serve/hgsuspect/list_test.go
@@ -22,39 +22,47 @@
 		do      func(l *hgsuspect.List, c *clock)
 		refused bool
 	}{
-		"two crashes":           {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(1)) }, false},
-		"three crashes":         {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(1)); l.Broke(request(1)) }, true},
-		"of different requests": {func(l *hgsuspect.List, _ *clock) { l.Broke(request(1)); l.Broke(request(2)); l.Broke(request(3)) }, false},
+		"two crashes": {func(l *hgsuspect.List, _ *clock) { l.RecordCrash(request(1)); l.RecordCrash(request(1)) }, false},
+		"three crashes": {func(l *hgsuspect.List, _ *clock) {
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
+		}, true},
+		"of different requests": {func(l *hgsuspect.List, _ *clock) {
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(2))
+			l.RecordCrash(request(3))
+		}, false},
 		"cleared by a completed run": {func(l *hgsuspect.List, _ *clock) {
-			l.Broke(request(1))
-			l.Broke(request(1))
-			l.Ended(request(1))
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCompletion(request(1))
+			l.RecordCrash(request(1))
 		}, false},
 		"over some minutes": {func(l *hgsuspect.List, c *clock) {
-			l.Broke(request(1))
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
 			c.now += 10 * time.Minute
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
 		}, true},
 		"long ago": {func(l *hgsuspect.List, c *clock) {
-			l.Broke(request(1))
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
 			c.now += 2 * time.Hour
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
 		}, false},
 		"retry after the refusal has expired": {func(l *hgsuspect.List, c *clock) {
-			l.Broke(request(1))
-			l.Broke(request(1))
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
 			c.now += 2 * time.Minute
 		}, false},
 		"longer refusal after a fourth crash": {func(l *hgsuspect.List, c *clock) {
-			l.Broke(request(1))
-			l.Broke(request(1))
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
+			l.RecordCrash(request(1))
 			c.now += 2 * time.Minute
-			l.Broke(request(1))
+			l.RecordCrash(request(1))
 			c.now += 2 * time.Minute
 		}, true},
 	}
@@ -78,12 +86,12 @@
 	const refused = 50
 	for n := range uint64(refused) {
 		for range 3 {
-			l.Broke(request(n))
+			l.RecordCrash(request(n))
 		}
 	}
 	for n := range uint64(50_000) {
 		c.now += time.Millisecond
-		l.Broke(request(refused + 10_000 + n))
+		l.RecordCrash(request(refused + 10_000 + n))
 	}
 	for n := range uint64(refused) {
 		if _, is := l.Refused(request(n)); !is {
@@ -104,14 +112,14 @@
 func TestServedRequestIsNotToldWithEachRun(t *testing.T) {
 	c := &clock{now: time.Minute}
 	l := hgsuspect.NewList(c, hglog.Discard())
-	l.Broke(request(1))
+	l.RecordCrash(request(1))
 	sentRecords := 0
 	for range 100 {
 		c.now += time.Second
-		l.Ended(request(1))
+		l.RecordCompletion(request(1))
 		offer := l.Offer("peer")
 		sentRecords += len(offer.Records)
-		l.Take("peer", hgsuspect.Exchange{Taken: offer.Now})
+		l.HandleAnswer("peer", hgsuspect.Exchange{Taken: offer.Now})
 	}
 	if sentRecords > 2 {
 		t.Errorf("%d records sent, want those of content and caller", sentRecords)
--- a/internal/serve/hgsuspect/outcomes_test.go
+++ b/internal/serve/hgsuspect/outcomes_test.go
@@ -17,7 +17,7 @@
 	// crash has callers send the same content, which crashes a replica each time.
 	crash := func(l *hgsuspect.List, content uint64, callers ...uint64) {
 		for _, caller := range callers {
-			l.Broke(sent(content, caller))
+			l.RecordCrash(sent(content, caller))
 		}
 	}
 	tests := map[string]struct {
@@ -31,17 +31,17 @@
 		"other caller completes it": {func(l *hgsuspect.List, c *clock) {
 			crash(l, 1, 1, 2, 3)
 			c.now += time.Second
-			l.Ended(sent(1, 4))
+			l.RecordCompletion(sent(1, 4))
 		}, 5, false},
 		"other caller completes it, its own caller never": {func(l *hgsuspect.List, c *clock) {
 			crash(l, 1, 1, 1, 1)
 			c.now += time.Second
-			l.Ended(sent(1, 4))
+			l.RecordCompletion(sent(1, 4))
 		}, 1, true},
 		"other caller completes it now and then": {func(l *hgsuspect.List, c *clock) {
 			for range 20 {
 				crash(l, 1, 2, 3, 4, 5)
-				l.Ended(sent(1, 6))
+				l.RecordCompletion(sent(1, 6))
 				c.now += time.Second
 			}
 			crash(l, 1, 2, 3, 4, 5)
@@ -67,7 +67,7 @@
 		}, 2, false},
 		"most other requests complete": {func(l *hgsuspect.List, _ *clock) {
 			for content := range uint64(8) {
-				l.Ended(sent(10+content, 1))
+				l.RecordCompletion(sent(10+content, 1))
 			}
 			crash(l, 2, 1)
 			crash(l, 3, 1)
--- a/internal/serve/hgsuspect/row.go
+++ b/internal/serve/hgsuspect/row.go
@@ -28,8 +28,8 @@
 	At  int64  `json:"at"`
 }
 
-// RowOf converts a record to a row; now is the wall-clock time at which the ages of the record hold.
-func RowOf(r Record, now time.Time) Row {
+// NewRow converts a record to a row; now is the wall-clock time at which the ages of the record hold.
+func NewRow(r Record, now time.Time) Row {
 	at := func(age time.Duration) int64 { return now.Add(-age).UnixMilli() }
 	return Row{
 		Digest: r.Digest,
--- a/internal/serve/hgsuspect/unanswered.go
+++ b/internal/serve/hgsuspect/unanswered.go
@@ -21,8 +21,8 @@
 	at      time.Duration
 }
 
-// Unanswered records a run without a response. It counts as a crash if the replica turns out to have ended.
-func (l *List) Unanswered(r Request, replica string) {
+// RecordUnanswered records a run without a response. It counts as a crash if the replica turns out to have ended.
+func (l *List) RecordUnanswered(r Request, replica string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	runs := append(l.unanswered[replica], unanswered{r, l.timer.Now()})
--- a/internal/serve/hgsuspect/unanswered_test.go
+++ b/internal/serve/hgsuspect/unanswered_test.go
@@ -13,12 +13,12 @@
 func TestUnanswered(t *testing.T) {
 	c := &clock{now: time.Minute}
 	l := hgsuspect.NewList(c, hglog.Discard())
-	l.Unanswered(request(1), "long ago")
+	l.RecordUnanswered(request(1), "long ago")
 	c.now += 20 * time.Second
-	l.Unanswered(request(2), "ended")
-	l.Unanswered(request(3), "other")
+	l.RecordUnanswered(request(2), "ended")
+	l.RecordUnanswered(request(3), "other")
 	for n := range uint64(1000) {
-		l.Unanswered(request(n), "busy")
+		l.RecordUnanswered(request(n), "busy")
 	}
 	tests := map[string]struct {
 		replica string
--- a/internal/state/hgfeed/feed.go
+++ b/internal/state/hgfeed/feed.go
@@ -31,8 +31,8 @@
 	graceEndWindow = 3 * time.Second
 )
 
-// Copy is a snapshot of a table.
-type Copy struct {
+// Snapshot is a snapshot of a table.
+type Snapshot struct {
 	// Rows are the rows by key.
 	Rows map[string]hgstore.Row
 	// Changed is the version of the newest change since the table was listed, or of the list itself; 0 before the first list.
@@ -52,7 +52,7 @@
 	onChange func(rows map[string]hgstore.Row, grace time.Duration)
 
 	mu       sync.Mutex
-	snapshot Copy
+	snapshot Snapshot
 	// confirmedAt is when the store last answered, and failingSince when it began to fail; 0 while it answers.
 	confirmedAt, failingSince time.Duration
 	// recoveredAt is when the store last answered again after an outage; 0 if there was none.
@@ -70,7 +70,7 @@
 // NewWatch returns a watch of a table; it does nothing until Run is called.
 func NewWatch(store hgstore.Feed, table string, timer hgtimer.Timer, log *slog.Logger, onChange func(rows map[string]hgstore.Row, grace time.Duration), opts ...Option) *Watch {
 	w := &Watch{
-		store: store, table: table, timer: timer, log: log, onChange: onChange, snapshot: Copy{Rows: map[string]hgstore.Row{}},
+		store: store, table: table, timer: timer, log: log, onChange: onChange, snapshot: Snapshot{Rows: map[string]hgstore.Row{}},
 		wait: func() time.Duration { return DefaultWait },
 	}
 	for _, opt := range opts {
@@ -160,14 +160,14 @@
 	w.mu.Lock()
 	w.noteSuccess()
 	w.listed = true
-	w.replace(Copy{Rows: lo.KeyBy(rows, func(r hgstore.Row) string { return r.Key }), Changed: version, Version: version})
+	w.replace(Snapshot{Rows: lo.KeyBy(rows, func(r hgstore.Row) string { return r.Key }), Changed: version, Version: version})
 	copied, grace := maps.Clone(w.snapshot.Rows), w.graceLeft()
 	w.mu.Unlock()
 	w.onChange(copied, grace)
 }
 
 // replace sets the snapshot unless c is older, and says whether it did; w.mu is held.
-func (w *Watch) replace(c Copy) bool {
+func (w *Watch) replace(c Snapshot) bool {
 	if c.Version < w.snapshot.Version {
 		return false
 	}
@@ -204,9 +204,9 @@
 }
 
 // Offer replaces the table by a peer's copy if that has a newer change.
-func (w *Watch) Offer(c Copy) {
+func (w *Watch) Offer(c Snapshot) {
 	w.mu.Lock()
-	if c.Changed <= w.snapshot.Changed || !w.replace(Copy{Rows: maps.Clone(c.Rows), Changed: c.Changed, Version: c.Version}) {
+	if c.Changed <= w.snapshot.Changed || !w.replace(Snapshot{Rows: maps.Clone(c.Rows), Changed: c.Changed, Version: c.Version}) {
 		w.mu.Unlock()
 		return
 	}
@@ -217,10 +217,10 @@
 }
 
 // Snapshot returns the table as it is now; the map is the caller's own.
-func (w *Watch) Snapshot() Copy {
+func (w *Watch) Snapshot() Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return Copy{Rows: maps.Clone(w.snapshot.Rows), Changed: w.snapshot.Changed, Version: w.snapshot.Version}
+	return Snapshot{Rows: maps.Clone(w.snapshot.Rows), Changed: w.snapshot.Changed, Version: w.snapshot.Version}
 }
 
 // Changed returns the version of the newest change to the table, as in Copy; 0 if the table has not been read yet.
--- a/internal/state/hgfeed/feed_test.go
+++ b/internal/state/hgfeed/feed_test.go
@@ -132,11 +132,11 @@
 		return map[string]hgstore.Row{key: {Key: key, Version: version}}
 	}
 	tests := map[string]struct {
-		copy hgfeed.Copy
+		copy hgfeed.Snapshot
 		want []string
 	}{
-		"newer": {hgfeed.Copy{Rows: row("t//new", 9), Changed: 9, Version: 9}, []string{"t//new"}},
-		"older": {hgfeed.Copy{Rows: row("t//old", 1), Changed: 0, Version: 0}, []string{"t//a"}},
+		"newer": {hgfeed.Snapshot{Rows: row("t//new", 9), Changed: 9, Version: 9}, []string{"t//new"}},
+		"older": {hgfeed.Snapshot{Rows: row("t//old", 1), Changed: 0, Version: 0}, []string{"t//a"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/state/hgjournal/committer_test.go
+++ b/internal/state/hgjournal/committer_test.go
@@ -107,7 +107,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d := w.states[shard].Begin(c, hgprogram.Limits{BudgetTokens: 10}, 0).(hgprogram.Run)
+	d := w.states[shard].Begin(c, hgprogram.Defaults{BudgetTokens: 10}, 0).(hgprogram.Run)
 	w.Append(shard, w.epochs[shard], d.Records)
 	w.Append(shard, w.epochs[shard], w.states[shard].Finish(c.Program, "r", hgcall.Result{State: hgcall.Done}, 0))
 }
@@ -165,7 +165,7 @@
 	}
 }
 
-func mustRows(t *testing.T, store hgstore.Store, shards uint32) []SeenRow {
+func mustRows(t *testing.T, store hgstore.Store, shards uint32) []VersionedRow {
 	t.Helper()
 	rows, err := ReadRows(t.Context(), store, shards)
 	if err != nil {
@@ -260,7 +260,7 @@
 				w, end := startWriter(t, store, 4)
 				defer end()
 				rows := mustRows(t, store, 4)
-				seen := lo.Filter(rows, func(r SeenRow, _ int) bool { return lo.Contains(tc.taken, r.Shard) })
+				seen := lo.Filter(rows, func(r VersionedRow, _ int) bool { return lo.Contains(tc.taken, r.Shard) })
 				if _, err := newWriter(store, "other").Claim(t.Context(), "other", seen); err != nil {
 					t.Fatal(err)
 				}
@@ -271,7 +271,7 @@
 					t.Fatal(err)
 				}
 				lost := lo.Filter([]uint32{0, 1, 2, 3}, func(s uint32, _ int) bool { return w.recorder.isLost(s) })
-				free := lo.FilterMap(mustRows(t, store, 4), func(r SeenRow, _ int) (uint32, bool) { return r.Shard, r.Row.Owner == "" })
+				free := lo.FilterMap(mustRows(t, store, 4), func(r VersionedRow, _ int) (uint32, bool) { return r.Shard, r.Row.Owner == "" })
 				if diff := cmp.Diff([][]uint32{tc.want, tc.want, tc.lost}, [][]uint32{got, free, lost}, cmpopts.EquateEmpty()); diff != "" {
 					t.Errorf("released, without owner, lost (-want +got):\n%s", diff)
 				}
@@ -294,7 +294,7 @@
 		time.AfterFunc(time.Second, end)
 		released, err := w.Release(t.Context(), []uint32{0, 1})
 		store.SetFault(hgstore.Fault{})
-		owners := lo.Map(mustRows(t, store, 2), func(r SeenRow, _ int) string { return r.Row.Owner })
+		owners := lo.Map(mustRows(t, store, 2), func(r VersionedRow, _ int) string { return r.Row.Owner })
 		if diff := cmp.Diff([]any{0, true, []string{"run", "run"}}, []any{len(released), err != nil, owners}); diff != "" {
 			t.Errorf("released, error, owners (-want +got):\n%s", diff)
 		}
--- a/internal/state/hgjournal/ownership.go
+++ b/internal/state/hgjournal/ownership.go
@@ -11,17 +11,17 @@
 	"hyssopgrade/hgstore"
 )
 
-// SeenRow is a shard's row with the version under which it was read; version 0 means that the row does not exist.
-type SeenRow struct {
+// VersionedRow is a shard's row with the version under which it was read; version 0 means that the row does not exist.
+type VersionedRow struct {
 	Shard   uint32
 	Version uint64
 	Row     ShardRow
 }
 
 // ReadRows returns the rows of all shards below n, in order; a row that does not exist has version 0.
-func ReadRows(ctx context.Context, store hgstore.Table, n uint32) (rows []SeenRow, err error) {
+func ReadRows(ctx context.Context, store hgstore.Table, n uint32) (rows []VersionedRow, err error) {
 	defer func() { err = trace.Wrap(err, "read shard rows") }()
-	rows = make([]SeenRow, n)
+	rows = make([]VersionedRow, n)
 	for i := range rows {
 		rows[i].Shard = uint32(i)
 	}
@@ -49,7 +49,7 @@
 // Claim makes the node the owner of shards whose rows are still as seen, under raised epochs, and returns these; the rows
 // of the others had changed. It attempts each set of shards once: if the outcome is unknown, it reads the rows and looks
 // for its nonce.
-func (c *Committer) Claim(ctx context.Context, node string, seen []SeenRow) (won []SeenRow, err error) {
+func (c *Committer) Claim(ctx context.Context, node string, seen []VersionedRow) (won []VersionedRow, err error) {
 	defer func() { err = trace.Wrap(err, "claim %d shards", len(seen)) }()
 	nonce := uuid.NewString()
 	for len(seen) > 0 {
@@ -73,7 +73,7 @@
 	return nil, nil
 }
 
-func (c *Committer) claimTxn(node, nonce string, seen []SeenRow) (next []SeenRow, t hgstore.Txn, err error) {
+func (c *Committer) claimTxn(node, nonce string, seen []VersionedRow) (next []VersionedRow, t hgstore.Txn, err error) {
 	c.mu.Lock()
 	from := c.nextBatch
 	c.mu.Unlock()
@@ -89,13 +89,13 @@
 		key := ShardKey(s.Shard)
 		t.Conditions = append(t.Conditions, hgstore.Condition{Key: key, Version: s.Version})
 		t.Puts = append(t.Puts, hgstore.Put{Key: key, Value: data})
-		next = append(next, SeenRow{Shard: s.Shard, Row: row})
+		next = append(next, VersionedRow{Shard: s.Shard, Row: row})
 	}
 	return next, t, nil
 }
 
 // findClaimed reads the rows of claimed shards and returns those that carry the nonce.
-func (c *Committer) findClaimed(ctx context.Context, nonce string, next []SeenRow) (won []SeenRow, err error) {
+func (c *Committer) findClaimed(ctx context.Context, nonce string, next []VersionedRow) (won []VersionedRow, err error) {
 	for _, s := range next {
 		r, err := c.store.Get(ctx, ShardKey(s.Shard))
 		if err != nil {
@@ -106,19 +106,19 @@
 			return nil, err
 		}
 		if row.Nonce == nonce {
-			won = append(won, SeenRow{Shard: s.Shard, Version: r.Version, Row: row})
+			won = append(won, VersionedRow{Shard: s.Shard, Version: r.Version, Row: row})
 		}
 	}
 	return won, nil
 }
 
 // withoutKeys returns the rows whose keys are not listed.
-func withoutKeys(seen []SeenRow, keys []string) []SeenRow {
+func withoutKeys(seen []VersionedRow, keys []string) []VersionedRow {
 	excluded := map[string]bool{}
 	for _, k := range keys {
 		excluded[k] = true
 	}
-	var rest []SeenRow
+	var rest []VersionedRow
 	for _, s := range seen {
 		if !excluded[ShardKey(s.Shard)] {
 			rest = append(rest, s)
@@ -129,7 +129,7 @@
 
 // Hold starts committing for a claimed shard whose last durable record is n. It drops records that are still pending from
 // an earlier hold of the shard.
-func (c *Committer) Hold(claimed SeenRow, n uint64) {
+func (c *Committer) Hold(claimed VersionedRow, n uint64) {
 	c.dropShard(claimed.Shard)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,12 +183,12 @@
 }
 
 // heldRows returns the rows of the listed shards that are held.
-func (c *Committer) heldRows(shards []uint32) (rows []SeenRow) {
+func (c *Committer) heldRows(shards []uint32) (rows []VersionedRow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range shards {
 		if h := c.held[s]; h != nil {
-			rows = append(rows, SeenRow{Shard: s, Version: h.version, Row: h.row})
+			rows = append(rows, VersionedRow{Shard: s, Version: h.version, Row: h.row})
 		}
 	}
 	return rows
@@ -208,7 +208,7 @@
 
 // writeRows replaces the rows of held shards in one transaction. It returns the rows written and their new version; the
 // shards of the other rows have another owner and are dropped as lost.
-func (c *Committer) writeRows(ctx context.Context, rows []SeenRow) (written []SeenRow, version uint64, err error) {
+func (c *Committer) writeRows(ctx context.Context, rows []VersionedRow) (written []VersionedRow, version uint64, err error) {
 	for len(rows) > 0 {
 		nonce := uuid.NewString()
 		t, err := rowsTxn(rows, nonce)
@@ -235,7 +235,7 @@
 	return nil, 0, nil
 }
 
-func rowsTxn(rows []SeenRow, nonce string) (t hgstore.Txn, err error) {
+func rowsTxn(rows []VersionedRow, nonce string) (t hgstore.Txn, err error) {
 	for _, r := range rows {
 		r.Row.Nonce = nonce
 		data, err := ShardRowCodec.Encode(r.Row)
@@ -250,10 +250,10 @@
 }
 
 // dropConflicting drops the shards whose rows have changed, reports them as lost, and returns the others.
-func (c *Committer) dropConflicting(rows []SeenRow, conflicts []string) []SeenRow {
+func (c *Committer) dropConflicting(rows []VersionedRow, conflicts []string) []VersionedRow {
 	rest := withoutKeys(rows, conflicts)
 	for _, r := range rows {
-		if !lo.ContainsBy(rest, func(s SeenRow) bool { return s.Shard == r.Shard }) {
+		if !lo.ContainsBy(rest, func(s VersionedRow) bool { return s.Shard == r.Shard }) {
 			c.dropShard(r.Shard)
 			c.events.LostShard(r.Shard)
 		}
@@ -284,7 +284,7 @@
 	if err := c.store.PutObject(putCtx, row.Segment, data); err != nil {
 		return
 	}
-	written, version, err := c.writeRows(ctx, []SeenRow{{Shard: shard, Version: h.version, Row: row}})
+	written, version, err := c.writeRows(ctx, []VersionedRow{{Shard: shard, Version: h.version, Row: row}})
 	if err != nil || len(written) == 0 {
 		return
 	}
--- a/internal/state/hgjournal/recovery.go
+++ b/internal/state/hgjournal/recovery.go
@@ -17,7 +17,7 @@
 
 // Recover rebuilds the state of claimed shards from their segments and batches. It reads the batches of each writer once
 // for all shards.
-func Recover(ctx context.Context, store hgstore.Store, claimed []SeenRow, now time.Duration) (states map[uint32]*hgprogram.Shard, err error) {
+func Recover(ctx context.Context, store hgstore.Store, claimed []VersionedRow, now time.Duration) (states map[uint32]*hgprogram.Shard, err error) {
 	defer func() { err = trace.Wrap(err, "recover %d shards", len(claimed)) }()
 	states = map[uint32]*hgprogram.Shard{}
 	firstBatch := map[string]uint64{}
--- a/internal/state/hgledger/cut_test.go
+++ b/internal/state/hgledger/cut_test.go
@@ -88,7 +88,7 @@
 	n.t.Cleanup(timer.Close)
 	n.starts[i]++
 	n.ledgers[i] = hgledger.NewLedger(fmt.Sprintf("vm-%d/%d", i, n.starts[i]), cutTable{n.store, func() bool { return n.side[i] > 0 }}, timer, hglog.Discard(),
-		hgledger.WithRetryAfter(time.Millisecond), hgledger.WithBackup(&cutPeers{n, i}), hgledger.WithComplete(n.starts[i] == 1))
+		hgledger.WithRetryAfter(time.Millisecond), hgledger.WithBackup(&cutPeers{n, i}), hgledger.WithAllProgramsKnown(n.starts[i] == 1))
 }
 
 // cutPeers is the Backup of one VM: the other VMs as it reaches them.
@@ -112,15 +112,15 @@
 }
 
 func (p *cutPeers) Ask(ctx context.Context, q hgledger.SoleRequest) (a hgledger.Answers) {
-	silent := p.each(func(_ int, l *hgledger.Ledger) { a.Add(l.Part(ctx, q)) })
-	if !p.n.forgets || p.n.majority && p.IsApart() {
-		a.None = silent
+	silent := p.each(func(_ int, l *hgledger.Ledger) { a.Add(l.Share(ctx, q)) })
+	if !p.n.forgets || p.n.majority && p.LacksMajority() {
+		a.Unanswered = silent
 	}
 	return a
 }
 
-// IsApart reports whether the VM reaches no majority of all VMs.
-func (p *cutPeers) IsApart() bool {
+// LacksMajority reports whether the VM reaches no majority of all VMs.
+func (p *cutPeers) LacksMajority() bool {
 	return p.n.majority && 2*p.each(func(int, *hgledger.Ledger) {}) >= cutVMs
 }
 
@@ -133,7 +133,7 @@
 	return copies
 }
 
-func (p *cutPeers) Troubled() bool {
+func (p *cutPeers) RowsMayBeStale() bool {
 	for i := range p.n.ledgers {
 		if p.n.side[i] == p.n.side[p.self] && p.n.ledgers[i].Unsaved() {
 			return true
@@ -182,7 +182,7 @@
 		n.note("restart %d", i)
 	case 3:
 		if n.side[i] == 0 {
-			saved, left := n.ledgers[i].Save(context.Background())
+			saved, left := n.ledgers[i].SaveClaims(context.Background())
 			n.note("save at %d: %d, %d left", i, saved, left)
 		}
 	default:
@@ -191,10 +191,10 @@
 	// Each program that a ledger has begun to serve is reported once, to the peers of its failure domain that it
 	// reaches.
 	for i, l := range n.ledgers {
-		begun := l.Seen()
+		begun := l.TakeNewPrograms()
 		(&cutPeers{n, i}).each(func(k int, peer *hgledger.Ledger) {
 			if k%cutDomains == i%cutDomains {
-				peer.Learn(begun, false)
+				peer.AddKnownPrograms(begun, false)
 			}
 		})
 	}
--- a/internal/state/hgledger/forget.go
+++ b/internal/state/hgledger/forget.go
@@ -13,10 +13,10 @@
 // maxDeletes bounds the rows that one transaction deletes. The store accepts up to 100 entries.
 const maxDeletes = 90
 
-// Forget evicts programs that have not been used for the duration silent, which has to be longer than turns are
+// EvictUnused evicts programs that have not been used for the duration silent, which has to be longer than turns are
 // retained. It deletes their rows unless another ledger has served them since. It returns the number of programs
 // evicted and the number that stay because of an error.
-func (l *Ledger) Forget(ctx context.Context, silent time.Duration) (dropped, failed int) {
+func (l *Ledger) EvictUnused(ctx context.Context, silent time.Duration) (dropped, failed int) {
 	before := l.timer.Now() - silent
 	l.known.evict(before)
 	return l.forEachProgram(func(p *program) (done bool, err error) {
--- a/internal/state/hgledger/history.go
+++ b/internal/state/hgledger/history.go
@@ -110,7 +110,7 @@
 	path, missing := p.turns.Path(turn)
 	if missing != "" {
 		if err := l.loadProgram(ctx, p); err != nil {
-			return nil, Unsure, err
+			return nil, Undecided, err
 		}
 		path, missing = p.turns.Path(turn)
 	}
@@ -122,25 +122,25 @@
 		found, err := l.findTurn(ctx, missing)
 		switch {
 		case err != nil:
-			return nil, Unsure, err
+			return nil, Undecided, err
 		case found == nil && missing == turn:
 			return nil, NoTurn, nil
 		case found == nil:
-			return nil, Unsure, trace.NotFound("turn %s, an ancestor of turn %s, does not exist", missing, turn)
+			return nil, Undecided, trace.NotFound("turn %s, an ancestor of turn %s, does not exist", missing, turn)
 		}
 		maps.Copy(foreign, found)
 		maps.Copy(p.turns, found)
 		path, missing = p.turns.Path(turn)
 	}
 	if missing != "" {
-		return nil, Unsure, trace.LimitExceeded("history of turn %s takes too many lookups", turn)
+		return nil, Undecided, trace.LimitExceeded("history of turn %s takes too many lookups", turn)
 	}
 	for _, t := range path {
 		if _, ok := foreign[t.ID]; !ok {
 			continue
 		}
 		if err := l.copyTurn(ctx, p.id, t); err != nil {
-			return nil, Unsure, err
+			return nil, Undecided, err
 		}
 	}
 	return hgturn.Text(path), Granted, nil
