--- a/internal/state/hgledger/known.go
+++ b/internal/state/hgledger/known.go
@@ -17,17 +17,17 @@
 	complete bool
 }
 
-// Seen returns the programs that were first served here, or of which a first copy was taken, since the last call. The
+// TakeNewPrograms returns the programs that were first served here, or of which a first copy was taken, since the last call. The
 // node sends them to its peers.
-func (l *Ledger) Seen() (programs []uint64) {
+func (l *Ledger) TakeNewPrograms() (programs []uint64) {
 	l.known.mu.Lock()
 	defer l.known.mu.Unlock()
 	programs, l.known.unreported = l.known.unreported, nil
 	return programs
 }
 
-// AllSeen returns all known programs, and whether these are all programs within the retention time.
-func (l *Ledger) AllSeen() (programs []uint64, complete bool) {
+// KnownPrograms returns all known programs, and whether these are all programs within the retention time.
+func (l *Ledger) KnownPrograms() (programs []uint64, complete bool) {
 	l.known.mu.Lock()
 	defer l.known.mu.Unlock()
 	for p := range l.known.lastSeen {
@@ -36,9 +36,9 @@
 	return programs, l.known.complete
 }
 
-// Learn adds programs that a peer reports; complete tells whether the peer knows all programs within the retention
+// AddKnownPrograms adds programs that a peer reports; complete tells whether the peer knows all programs within the retention
 // time.
-func (l *Ledger) Learn(programs []uint64, complete bool) {
+func (l *Ledger) AddKnownPrograms(programs []uint64, complete bool) {
 	now := l.timer.Now()
 	l.known.mu.Lock()
 	defer l.known.mu.Unlock()
--- a/internal/state/hgledger/ledger.go
+++ b/internal/state/hgledger/ledger.go
@@ -26,8 +26,8 @@
 	Spent Verdict = "spent"
 	// NoTurn means that the turn to continue does not exist. The newest rows have been read.
 	NoTurn Verdict = "noTurn"
-	// Unsure means that the decision could not be made in time, mostly because the store did not answer.
-	Unsure Verdict = "unsure"
+	// Undecided means that the decision could not be made in time, mostly because the store did not answer.
+	Undecided Verdict = "unsure"
 	// Outage means that the store is unreachable and the turn cannot be granted without it.
 	Outage Verdict = "outage"
 	// Busy means that the replicas are busy, so that new programs have to wait.
@@ -139,7 +139,7 @@
 	defer cancel()
 	p := l.program(q.Program)
 	if !p.lock(ctx) {
-		return OpenReply{Verdict: Unsure}
+		return OpenReply{Verdict: Undecided}
 	}
 	defer p.unlock()
 	p.lastUsed = l.timer.Now()
@@ -168,7 +168,7 @@
 	p.reservations[q.Attempt] = reply.Most
 	if p.closedEarly[q.Attempt] {
 		l.release(p, q.Attempt, 0)
-		return OpenReply{Verdict: Unsure}
+		return OpenReply{Verdict: Undecided}
 	}
 	return reply
 }
@@ -177,7 +177,7 @@
 // partition of the store is reachable.
 func (l *Ledger) reserve(ctx context.Context, p *program, q OpenRequest, isNew bool) (reserved int, v Verdict, err error) {
 	if !p.rowKnown && !l.markersRead.Load() {
-		return 0, Unsure, trace.NotFound("failover markers have not been read yet")
+		return 0, Undecided, trace.NotFound("failover markers have not been read yet")
 	}
 	if q.Offline || l.committer.isUnreachable(p.partition) && !l.failOver(ctx, p, isNew) {
 		reserved, v = l.reserveOffline(ctx, p, q, isNew)
@@ -186,13 +186,13 @@
 	l.fetchUnsavedClaims(ctx, p)
 	online, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	if v, err = l.reserveOnline(online, p, q.Budget, q.Most); v != Unsure || ctx.Err() != nil {
+	if v, err = l.reserveOnline(online, p, q.Budget, q.Most); v != Undecided || ctx.Err() != nil {
 		return q.Most, v, err
 	}
 	if reserved, v = l.reserveOffline(ctx, p, q, isNew); v == Granted {
 		return reserved, Granted, nil
 	}
-	return 0, Unsure, err
+	return 0, Undecided, err
 }
 
 func (l *Ledger) logRefusal(msg string, q OpenRequest, v Verdict, err error) {
@@ -208,15 +208,15 @@
 func (l *Ledger) reserveOnline(ctx context.Context, p *program, budget, maxTokens int) (v Verdict, err error) {
 	if !p.rowKnown && l.failedOver[p.partition].Load() {
 		if err := l.readAccount(ctx, p); err != nil {
-			return Unsure, err
+			return Undecided, err
 		}
 	}
 	for fetched := false; ; {
 		g := p.account.Reserve(budget, maxTokens)
 		mayOverrun := l.backup != nil && p.account.MayOverrun(g, budget)
 		switch {
-		case mayOverrun && l.backup.IsApart():
-			return Unsure, trace.LimitExceeded("no majority of the nodes is heard; other nodes may serve the program without a durable row")
+		case mayOverrun && l.backup.LacksMajority():
+			return Undecided, trace.LimitExceeded("no majority of the nodes is heard; other nodes may serve the program without a durable row")
 		case mayOverrun && !fetched:
 			fetched = true
 			l.fetchClaims(ctx, p)
@@ -224,7 +224,7 @@
 			p.checkedAt = l.timer.Now()
 			if err := l.readAccount(ctx, p); err != nil {
 				p.rowKnown = false
-				return Unsure, err
+				return Undecided, err
 			}
 		case g.Spent:
 			l.closeAccount(ctx, p, budget, maxTokens)
@@ -235,7 +235,7 @@
 		default:
 			written, err := l.writeAccount(ctx, p, g.Account)
 			if err != nil {
-				return Unsure, err
+				return Undecided, err
 			}
 			if written {
 				p.account.Open += maxTokens
@@ -325,9 +325,9 @@
 	return int(succeeded.Load()), int(errored.Load())
 }
 
-// Return reduces this ledger's shares of all budgets to what is used or reserved by open turns, so that other nodes can
+// ReturnUnused reduces this ledger's shares of all budgets to what is used or reserved by open turns, so that other nodes can
 // claim the rest. It returns the numbers of rows written and of programs that failed.
-func (l *Ledger) Return(ctx context.Context) (returned, failed int) {
+func (l *Ledger) ReturnUnused(ctx context.Context) (returned, failed int) {
 	return l.forEachProgram(func(p *program) (done bool, err error) { return l.returnUnused(ctx, p) })
 }
 
--- a/internal/state/hgledger/ledger_test.go
+++ b/internal/state/hgledger/ledger_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("with a store that answers: %s", v)
 	}
 	store.SetFault(hgstore.Fault{Down: true})
-	if v := open(l, "p", "x", "none").Verdict; v != hgledger.Unsure {
+	if v := open(l, "p", "x", "none").Verdict; v != hgledger.Undecided {
 		t.Errorf("with a store that does not: %s", v)
 	}
 }
@@ -84,7 +84,7 @@
 	if err := l.Close(context.Background(), hgledger.CloseRequest{Program: "p", Attempt: "late"}); err != nil {
 		t.Fatal(err)
 	}
-	if v := l.Open(context.Background(), q).Verdict; v != hgledger.Unsure {
+	if v := l.Open(context.Background(), q).Verdict; v != hgledger.Undecided {
 		t.Errorf("withdrawn turn: %s", v)
 	}
 	q.Attempt = "next"
@@ -135,7 +135,7 @@
 				}
 			}
 			time.Sleep(2 * time.Millisecond)
-			if dropped, failed := l.Forget(context.Background(), time.Millisecond); dropped != 1 || failed != 0 || l.Programs() != 0 {
+			if dropped, failed := l.EvictUnused(context.Background(), time.Millisecond); dropped != 1 || failed != 0 || l.Programs() != 0 {
 				t.Errorf("dropped %d, failed %d", dropped, failed)
 			}
 			rows, err := store.Scan(context.Background(), "hg", "", 100)
@@ -172,7 +172,7 @@
 	start := func(first bool) *hgledger.Ledger {
 		starts++
 		return hgledger.NewLedger(fmt.Sprint(starts), store, timer, hglog.Discard(), hgledger.WithRetryAfter(time.Microsecond),
-			hgledger.WithBackup(backup), hgledger.WithComplete(first))
+			hgledger.WithBackup(backup), hgledger.WithAllProgramsKnown(first))
 	}
 	backup.all = []*hgledger.Ledger{start(true), start(true)}
 	type opened struct {
@@ -197,7 +197,7 @@
 			})
 			store.SetFault(hgstore.Fault{})
 			// Heartbeats report new programs to peers.
-			backup.all[1-i].Learn(backup.all[i].Seen(), false)
+			backup.all[1-i].AddKnownPrograms(backup.all[i].TakeNewPrograms(), false)
 			if r.Verdict == hgledger.Granted {
 				running = append(running, opened{backup.all[i], r.Holder, id, r.Most})
 			}
@@ -214,14 +214,14 @@
 			}
 		case "restart":
 			backup.all[i] = start(false)
-			programs, complete := backup.all[1-i].AllSeen()
-			backup.all[i].Learn(programs, complete)
+			programs, complete := backup.all[1-i].KnownPrograms()
+			backup.all[i].AddKnownPrograms(programs, complete)
 		case "loss":
 			backup.all = []*hgledger.Ledger{start(false), start(false)}
 		case "lose":
 			store.SetFault(hgstore.Fault{LoseReplies: 1})
 		case "save":
-			backup.all[i].Save(context.Background())
+			backup.all[i].SaveClaims(context.Background())
 		}
 	}
 	worst := delivered
--- a/internal/state/hgledger/offline.go
+++ b/internal/state/hgledger/offline.go
@@ -12,10 +12,10 @@
 type Backup interface {
 	// Ask asks all peers whether they hold a share of a program's budget, and counts their answers.
 	Ask(ctx context.Context, q SoleRequest) Answers
-	// Troubled reports whether this node or a peer has recently been without the store or has unsaved claims.
-	Troubled() bool
-	// IsApart reports whether this node hears no majority of all nodes, so that the others may take it for dead.
-	IsApart() bool
+	// RowsMayBeStale reports whether this node or a peer has recently been without the store or has unsaved claims.
+	RowsMayBeStale() bool
+	// LacksMajority reports whether this node hears no majority of all nodes, so that the others may take it for dead.
+	LacksMajority() bool
 	// Copy sends a copy of a claim to peers and returns how many of them hold it.
 	Copy(ctx context.Context, c Copy) (copies int)
 }
@@ -39,9 +39,9 @@
 
 // Answers summarizes the answers of all peers to a SoleRequest.
 type Answers struct {
-	// Sole counts the peers that replied with Sole, Part those that replied without, and None those that did not
+	// Sole counts the peers that replied with Sole, Holding those that replied without, and Unanswered those that did not
 	// answer.
-	Sole, Part, None int
+	Sole, Holding, Unanswered int
 	// Taken maps ledgers to the largest claim that any peer knows of, in tokens.
 	Taken map[string]int
 }
@@ -52,7 +52,7 @@
 		a.Sole++
 		return
 	}
-	a.Part++
+	a.Holding++
 	a.Taken = maxClaims(a.Taken, r.Taken)
 }
 
@@ -119,14 +119,14 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	a := l.backup.Ask(ctx, SoleRequest{Program: p.id, New: true})
-	l.log.Info("peers asked for shares of the budget", "program", p.id, "without", a.Sole, "with", a.Part, "silent", a.None)
-	return a.Sole > 0 && a.Part == 0 && a.None == 0
+	l.log.Info("peers asked for shares of the budget", "program", p.id, "without", a.Sole, "with", a.Holding, "silent", a.Unanswered)
+	return a.Sole > 0 && a.Holding == 0 && a.Unanswered == 0
 }
 
 // fetchUnsavedClaims asks peers for their claims on a program whose row this ledger does not know, if peers may hold
 // claims from an outage of the store that they have not yet written.
 func (l *Ledger) fetchUnsavedClaims(ctx context.Context, p *program) {
-	if !p.rowKnown && l.backup != nil && l.backup.Troubled() {
+	if !p.rowKnown && l.backup != nil && l.backup.RowsMayBeStale() {
 		l.fetchClaims(ctx, p)
 	}
 }
@@ -162,8 +162,8 @@
 	p.unsaved = unsaved
 }
 
-// Part answers a peer's SoleRequest. If the program's lock is not free in time, the reply is not Sole.
-func (l *Ledger) Part(ctx context.Context, q SoleRequest) (r SoleReply) {
+// Share answers a peer's SoleRequest. If the program's lock is not free in time, the reply is not Sole.
+func (l *Ledger) Share(ctx context.Context, q SoleRequest) (r SoleReply) {
 	p, ok := l.find(q.Program)
 	if !ok {
 		return SoleReply{Sole: !q.New || !l.known.contains(q.Program)}
@@ -196,9 +196,9 @@
 // copyGrace is how long the holder of a copy leaves it to the claiming ledger to write the row.
 const copyGrace = 2 * time.Second
 
-// Save writes claims that were made while the store was unreachable: those of this ledger, and copies of claims that
+// SaveClaims writes claims that were made while the store was unreachable: those of this ledger, and copies of claims that
 // peers have not written within copyGrace. It returns the numbers of programs that were saved and that failed.
-func (l *Ledger) Save(ctx context.Context) (saved, left int) {
+func (l *Ledger) SaveClaims(ctx context.Context) (saved, left int) {
 	return l.forEachProgram(func(p *program) (done bool, err error) {
 		if l.committer.isUnreachable(p.partition) {
 			return false, nil
--- a/internal/state/hgledger/options.go
+++ b/internal/state/hgledger/options.go
@@ -23,9 +23,9 @@
 // claims are made.
 func WithBackup(b Backup) Option { return func(o *options) { o.backup = b } }
 
-// WithComplete tells the ledger whether it knows all programs served so far, as at the first start of a site, when
+// WithAllProgramsKnown tells the ledger whether it knows all programs served so far, as at the first start of a site, when
 // there are none.
-func WithComplete(complete bool) Option { return func(o *options) { o.complete = complete } }
+func WithAllProgramsKnown(complete bool) Option { return func(o *options) { o.complete = complete } }
 
 // WithMarkers announces that SetMarkers will be called. Until then no budget is granted for a program whose row has not
 // been read.
--- a/internal/state/hgledger/outage_test.go
+++ b/internal/state/hgledger/outage_test.go
@@ -47,20 +47,20 @@
 
 func (p *peers) Ask(ctx context.Context, q hgledger.SoleRequest) (a hgledger.Answers) {
 	for _, l := range p.others() {
-		a.Add(l.Part(ctx, q))
+		a.Add(l.Share(ctx, q))
 	}
 	return a
 }
 
-func (p *peers) Troubled() bool { return true }
+func (p *peers) RowsMayBeStale() bool { return true }
 
-func (p *peers) IsApart() bool { return false }
+func (p *peers) LacksMajority() bool { return false }
 
 func newLedgerWithPeers(t *testing.T, id string, store hgstore.Table, p *peers) *hgledger.Ledger {
 	timer := hgtimer.NewService()
 	t.Cleanup(timer.Close)
 	return hgledger.NewLedger(id, store, timer, hglog.Discard(), hgledger.WithRetryAfter(time.Millisecond),
-		hgledger.WithBackup(p), hgledger.WithComplete(true))
+		hgledger.WithBackup(p), hgledger.WithAllProgramsKnown(true))
 }
 
 // During an outage of the store a new program is served, and its budget holds even if the node that served it dies.
@@ -97,7 +97,7 @@
 	store.SetFault(hgstore.Fault{})
 	// The first node has died. Its peer writes the copy of its claim, so that a third node reads it.
 	time.Sleep(2100 * time.Millisecond)
-	if saved, left := second.Save(context.Background()); saved != 1 || left != 0 {
+	if saved, left := second.SaveClaims(context.Background()); saved != 1 || left != 0 {
 		t.Errorf("saved %d, left %d", saved, left)
 	}
 	third := newLedgerWithPeers(t, "d", store, &peers{})
@@ -115,7 +115,7 @@
 	if v := second.Open(context.Background(), q).Verdict; v != hgledger.Granted {
 		t.Fatal(v)
 	}
-	first.Learn(second.Seen(), false)
+	first.AddKnownPrograms(second.TakeNewPrograms(), false)
 	q.Attempt, q.Offline = "2", true
 	if v := first.Open(context.Background(), q).Verdict; v != hgledger.Outage {
 		t.Errorf("verdict %s", v)
@@ -143,7 +143,7 @@
 	want(second, "2", hgledger.Granted)
 	want(second, "3", hgledger.Granted)
 	want(second, "4", hgledger.Spent)
-	if saved, left := first.Save(context.Background()); saved != 1 || left != 0 || first.Unsaved() {
+	if saved, left := first.SaveClaims(context.Background()); saved != 1 || left != 0 || first.Unsaved() {
 		t.Errorf("saved %d, left %d", saved, left)
 	}
 	want(newLedgerWithPeers(t, "d", store, &peers{}), "5", hgledger.Spent)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -96,8 +96,8 @@
 red ledgerUnwritten TestBudgetHolds internal/state/hgledger \
   internal/state/hgledger/offline.go 's/a\.Mine = q\.Most/a.Mine = q.Budget/'
 red ledgerNotFound TestTurnNotFound internal/state/hgledger \
-  internal/state/hgledger/history.go 's/case err != nil:\n\t\t\treturn nil, Unsure, err/case err != nil:\n\t\t\treturn nil, NoTurn, err/' \
-  internal/state/hgledger/history.go 's/return nil, Unsure, err\n\t\t\}\n\t\tpath/return nil, NoTurn, err\n\t\t}\n\t\tpath/'
+  internal/state/hgledger/history.go 's/case err != nil:\n\t\t\treturn nil, Undecided, err/case err != nil:\n\t\t\treturn nil, NoTurn, err/' \
+  internal/state/hgledger/history.go 's/return nil, Undecided, err\n\t\t\}\n\t\tpath/return nil, NoTurn, err\n\t\t}\n\t\tpath/'
 red ledgerParts TestSilentPart internal/state/hgledger \
   internal/state/hgledger/row.go 's/alternates = 5/alternates = 0/'
 red feedGap TestWatch internal/state/hgfeed \
