--- /dev/null
+++ b/internal/serve/hgreplica/summary.go
@@ -0,0 +1,47 @@
+package hgreplica
+
+import "time"
+
+// Summary describes a replica for operators.
+type Summary struct {
+	ID      string
+	Service string
+	Domain  string
+	// Out says why the replica gets no requests; empty if it does.
+	Out string
+	// InFlight is the number of requests that this node placed there.
+	InFlight int
+	// Failures is the number of failures, decayed to the time of the summary.
+	Failures float64
+	// Delay is the average time to the first byte.
+	Delay time.Duration
+}
+
+// Summaries returns a summary of each replica, in no particular order.
+func (s *Set) Summaries() (all []Summary) {
+	now := s.timer.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range s.replicas {
+		all = append(all, Summary{
+			ID: r.ID, Service: r.Service, Domain: r.Domain, Out: r.unusableReason(now), InFlight: r.inFlight,
+			Failures: r.recentFailures(now), Delay: time.Duration(r.delay),
+		})
+	}
+	return all
+}
+
+// unusableReason says why the replica gets no requests; it is empty if the replica gets some.
+func (r *replica) unusableReason(now time.Duration) string {
+	switch {
+	case r.Leaving:
+		return "leaving"
+	case r.announcedLeaving:
+		return "leaving, as it says itself"
+	case r.misdirected:
+		return "another replica has its address"
+	case r.lapsesAt > 0 && now >= r.lapsesAt:
+		return "not registered"
+	}
+	return ""
+}
