--- a/internal/serve/hgentry/entry.go
+++ b/internal/serve/hgentry/entry.go
@@ -90,7 +90,7 @@
 	return &Entry{dialect: d, programs: p, placer: placer, replicas: r, timer: timer, log: log, metrics: f, suspects: s, memory: m}
 }
 
-// SetDesired applies a desired state unless the current one is as new, and reports whether it did.
+// SetDesired applies a desired state unless the current one has the same or a newer version, and reports whether it did.
 func (e *Entry) SetDesired(s *hgdesired.State) (changed bool) {
 	for {
 		have := e.desired.Load()
--- a/internal/serve/hgentry/place.go
+++ b/internal/serve/hgentry/place.go
@@ -50,7 +50,7 @@
 	return hgplacer.Rank{New: x.turn != nil && x.turn.open.New && x.tries == 0, Late: x.isLate(), Priority: x.route.Priority}
 }
 
-// isLate reports whether the target time of the request's program has passed.
+// isLate reports whether the deadline of the request's program has passed.
 func (x *exchange) isLate() bool {
 	return x.attempt.HasProgramLeft && x.entry.timer.Now()-x.start >= x.attempt.ProgramLeft
 }
--- a/internal/serve/hgentry/plain.go
+++ b/internal/serve/hgentry/plain.go
@@ -14,7 +14,7 @@
 	// maxPlainBytes is the largest response of a plain service; it is buffered until it is complete.
 	maxPlainBytes = 8 << 20
 	// plainRemoteCost is the cost of picking a replica in another failure domain for a request of a plain service: a round
-	// trip of twice half a millisecond.
+	// trip, at half a millisecond each way.
 	plainRemoteCost = time.Millisecond
 )
 
--- a/internal/serve/hgentry/turn.go
+++ b/internal/serve/hgentry/turn.go
@@ -14,7 +14,7 @@
 // settleTimeout is the timeout for closing a turn in the background, when the caller does not wait for it.
 const settleTimeout = 3 * time.Second
 
-// turn is a turn of a program that was granted.
+// turn is a granted turn of a program.
 type turn struct {
 	open  hgledger.OpenReply
 	owner hgpeer.Info
@@ -24,7 +24,8 @@
 	closed bool
 }
 
-// openTurn asks whether the turn may run and reports that. If not, it has responded to the caller.
+// openTurn asks x.entry.programs whether the turn may run, and reports the answer. If it may not, openTurn has responded to
+// the caller.
 func (x *exchange) openTurn() bool {
 	a := x.attempt
 	q := hgledger.OpenRequest{
--- a/internal/serve/hgowner/dispatch.go
+++ b/internal/serve/hgowner/dispatch.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// requestSucceeded clears a suspect request that has run to its end, and tells the peers.
+// requestSucceeded clears a suspect request that an endpoint has run to completion, and tells the peers.
 func (o *Owner) requestSucceeded(digest string) {
 	o.mu.Lock()
 	s, ok := o.quarantine.Finished(digest, o.now())
--- a/internal/serve/hgowner/isolation.go
+++ b/internal/serve/hgowner/isolation.go
@@ -18,7 +18,8 @@
 // isolationRetryInterval is how long a request waits that got a slot but not its turn or the isolation row, before it tries again.
 const isolationRetryInterval = 100 * time.Millisecond
 
-// isolationRow is the value of an isolation row: the node, and its run, that runs a suspect request on the endpoint.
+// isolationRow is the value of an isolation row: the node that runs a suspect request on the endpoint, and the identifier of
+// the start of its process.
 type isolationRow struct {
 	Node  string `json:"node"`
 	Run   string `json:"run"`
--- a/internal/serve/hgowner/job.go
+++ b/internal/serve/hgowner/job.go
@@ -106,7 +106,7 @@
 	result hgcall.Result
 	// refusal, if set, is the caller's answer in place of the result.
 	refusal *hgcall.Refusal
-	// abandon says that an idempotent call was dispatched without a result and may run again.
+	// abandon says that a repeatable call (hgcall.Call.Repeatable) was dispatched without a result and may run again.
 	abandon bool
 	// unsent says that the attempt reached no endpoint.
 	unsent bool
--- a/internal/serve/hgowner/owner_test.go
+++ b/internal/serve/hgowner/owner_test.go
@@ -24,7 +24,7 @@
 	"hyssopgrade/internal/state/hgjournal"
 )
 
-// script holds the answers of a test's endpoints to dispatches, which they share: the errors one after the other, then successes.
+// script holds the answers that all endpoints of a test together give to dispatches: first the errors in order, then successes.
 type script struct {
 	mu   sync.Mutex
 	errs []error
--- a/internal/serve/hgowner/resolve.go
+++ b/internal/serve/hgowner/resolve.go
@@ -20,7 +20,8 @@
 )
 
 // resolveOpenCall closes a call that the previous owner left without an outcome. It waits first until that owner may no longer
-// dispatch the call. An idempotent call, and a call that no endpoint has run or will run, may run again afterwards.
+// dispatch the call. A repeatable call (c.Idempotent, which is set for model calls too), and a call that no endpoint has run or
+// will run, may run again afterwards.
 func (o *Owner) resolveOpenCall(s *shard, epoch uint64, c hgprogram.OpenCall) {
 	if !o.sleep(o.cfg.Limits.DispatchWindow) {
 		return
@@ -52,8 +53,9 @@
 }
 
 // findOutcome asks the endpoints of an open call's service for the call's outcome until the outcome is known, until no endpoint
-// can report it any more, or until resolveTimeout has passed. unrun means that no endpoint has run the call and that each endpoint refuses it from now on under
-// the previous owner's fencing number. A call that was once seen running is never unrun: its endpoint may have restarted since.
+// can report it any more, or until resolveTimeout has passed. unrun means that no endpoint has run the call and that each
+// endpoint refuses it from now on under the previous owner's fencing number. A call that was once seen running is never unrun:
+// its endpoint may have restarted since.
 func (o *Owner) findOutcome(f hgendpoint.Fence, c hgprogram.OpenCall) (r hgcall.Result, unrun bool) {
 	end := o.now() + resolveTimeout
 	started := false
--- a/internal/serve/hgplacer/placer.go
+++ b/internal/serve/hgplacer/placer.go
@@ -34,11 +34,13 @@
 }
 
 const (
-	// Window is the most requests in flight on a replica, as a multiple of its slots. It is above 1 because turns that queue
-	// at the replica that has their history cached do better than turns that move to an idle replica.
+	// Window is the most requests in flight on a replica, as a multiple of its slots. It is above 1 because in the model of
+	// the engines (hgmodel) turns that queue at the replica that has their history cached do better than turns that move to
+	// an idle replica.
 	Window = 3
 	// FullLoad is the load of a service, in requests per slot, from which new programs are refused and have to come back
-	// later. Limits from 1.0 to 1.2 serve the most programs; with higher ones programs under way miss their deadlines.
+	// later. In hgmodel, limits from 1.0 to 1.2 serve the most programs; with higher ones programs in progress miss their
+	// deadlines.
 	FullLoad = 1.1
 	// FullLoadUrgent is the same limit for routes of priority 0, the most urgent ones.
 	FullLoadUrgent = 1.25
@@ -58,7 +60,7 @@
 	queues map[string]*Queue
 	// waiters holds the channel of each queued request, which gets the lease, or nil if no replica is left.
 	waiters map[string]chan *hgreplica.Lease
-	// held holds the leases of other nodes' requests by the ID of their Ask.
+	// held holds the leases of other nodes' requests by the ID of their PlaceRequest.
 	held map[string]heldLease
 }
 
@@ -126,6 +128,7 @@
 // Load returns the requests in flight per slot on the replicas of a service.
 func (p *Placer) Load(service string) float64 { return p.set.Load(service) }
 
+// queue returns the queue of a service and creates it if there is none; p.mu is held.
 func (p *Placer) queue(service string) *Queue {
 	q, ok := p.queues[service]
 	if !ok {
@@ -174,7 +177,7 @@
 	}
 }
 
-// Hold keeps the lease of another node's request until Leave is called for it or it is overdue.
+// Hold keeps the lease of another node's request until Release is called for it or it is overdue.
 func (p *Placer) Hold(a PlaceRequest, l *hgreplica.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/serve/hgplacer/placer_test.go
+++ b/internal/serve/hgplacer/placer_test.go
@@ -14,8 +14,8 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// Requests of late programs are served last; then programs under way go before new ones, urgent routes before others, and
-// older requests before younger ones.
+// Requests of late programs are served last. Among the others, programs in progress go before new ones, then urgent routes
+// before others, then older requests before younger ones.
 func TestQueueOrder(t *testing.T) {
 	q := hgplacer.NewQueue()
 	for id, rank := range map[string]hgplacer.Rank{
--- a/internal/serve/hgplacer/queue.go
+++ b/internal/serve/hgplacer/queue.go
@@ -17,10 +17,10 @@
 	Rank Rank
 }
 
-// Rank orders the waiting requests. Requests of late programs go last, and requests of programs under way go before those of
-// new programs; within each of these groups the lower Priority goes first, then the earlier Arrived.
+// Rank orders the waiting requests. Requests of late programs go last, and requests of programs in progress go before those
+// of new programs; within each of these groups the lower Priority goes first, then the earlier Arrived.
 type Rank struct {
-	// New says that the request begins a program. Programs under way go first, because work has already been spent on them.
+	// New says that the request begins a program. Programs in progress go first, because work has already been spent on them.
 	New bool
 	// Late says that the deadline of the program has passed.
 	Late bool
--- a/internal/serve/hgreplica/lease.go
+++ b/internal/serve/hgreplica/lease.go
@@ -15,7 +15,7 @@
 	Client  *http.Client
 	// FetchFrom is the address of the replica to fetch cached prompt tokens from; empty if nothing is to be fetched.
 	FetchFrom string
-	// Why holds the figures for which the replica was picked.
+	// Why holds the figures by which the replica was picked.
 	Why     Decision
 	set     *Set
 	replica *replica
@@ -148,8 +148,8 @@
 	l.replica.addFailures(now, 1)
 }
 
-// MarkLeaving records that the replica announced that it is leaving, so that it gets no new requests until it has restarted. news
-// is false if this node knew that already.
+// MarkLeaving records that the replica announced that it is leaving, so that it gets no new requests until it has restarted.
+// news is false if this node knew that already.
 func (l *Lease) MarkLeaving() (news bool) {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
--- a/internal/serve/hgreplica/leaving.go
+++ b/internal/serve/hgreplica/leaving.go
@@ -44,8 +44,8 @@
 	return ok
 }
 
-// LeavingIncarnations returns the incarnations of registered replicas that announced to this node or to a peer that they are leaving,
-// unless their registrations say so as well.
+// LeavingIncarnations returns the incarnations of registered replicas that announced to this node or to a peer that they are
+// leaving, unless their registrations say so as well.
 func (s *Set) LeavingIncarnations() (incarnations []Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serve/hgreplica/set.go
+++ b/internal/serve/hgreplica/set.go
@@ -12,7 +12,7 @@
 	"hyssopgrade/hgtimer"
 )
 
-// Registration is the registration of a replica.
+// Registration describes a replica as its row in the platform's store lists it.
 type Registration struct {
 	ID      string
 	Service string
@@ -176,7 +176,7 @@
 	Window float64
 }
 
-// Decision holds the figures for which a replica was picked; they are logged with the request.
+// Decision holds the figures by which a replica was picked; they are logged with the request.
 type Decision struct {
 	// Miss and Fetch are the prompt tokens that the replica has to read and to fetch. Own and All are the requests in flight
 	// there, of the node that picked and of all nodes.
--- a/internal/serve/hgsuspect/exchange.go
+++ b/internal/serve/hgsuspect/exchange.go
@@ -9,7 +9,7 @@
 )
 
 // Lists are synchronized by exchanges between pairs of peers. An offer contains the changes made at the sender's own VM, and the
-// answer contains changes at the receiver's list that the sender does not have. Records in a lost message are sent again with
+// answer contains the changes to the receiver's list that the sender does not have. Records in a lost message are sent again with
 // the next exchange, and a list that starts empty receives all records.
 
 // maxRecords bounds the records of one message; further ones follow with the next messages.
@@ -37,8 +37,8 @@
 	Proof  Proof
 }
 
-// Cursor is a position in the sequence of changes of one list: the list's run and the number of the last change that is known.
-// Run is 0 if nothing is known.
+// Cursor is a position in the sequence of changes of one list. Run is the random identifier of that list, and Number the number
+// of the last change that is known. Run is 0 if nothing is known.
 type Cursor struct{ Run, Number uint64 }
 
 // Exchange is the message of both directions: an offer to a peer, or the answer to an offer.
@@ -125,7 +125,7 @@
 	}
 }
 
-// advance returns the further one of two cursors of the same run, and to if the runs differ.
+// advance returns the further one of two cursors with the same Run, and to if their Runs differ.
 func (c Cursor) advance(to Cursor) Cursor {
 	if c.Run == to.Run && c.Number > to.Number {
 		return c
--- a/internal/serve/hgsuspect/list.go
+++ b/internal/serve/hgsuspect/list.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// RecordCrash records a suspected crash: a replica's connection broke while it ran a request. While the service is failing, the crash is
-// recorded as excused, and only under the digest that includes the caller.
+// RecordCrash records a suspected crash: a replica's connection broke while it ran a request. While the service is failing,
+// the crash is recorded as excused, and only under the digest that includes the caller.
 func (l *List) RecordCrash(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,8 @@
 	}
 }
 
-// RecordCompletion records that a replica ran a request to completion, which proves it harmless: earlier crashes no longer count.
+// RecordCompletion records that a replica ran a request to completion. That proves the request harmless: its earlier crashes no
+// longer count.
 func (l *List) RecordCompletion(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
