--- a/internal/peer/hgnode/endpoint.go
+++ b/internal/peer/hgnode/endpoint.go
@@ -59,7 +59,8 @@
 	})
 }
 
-// isWatcher reports whether rendezvous hashing over the takers makes this node a watcher of the key.
+// isWatcher reports whether rendezvous hashing over the takers, the nodes that may own shards, makes this node a watcher of
+// the key.
 func (n *Node) isWatcher(key string, takers []hgmember.Member) bool {
 	first := hgshard.Ranked(key, takers, watchersPerKey)
 	return lo.ContainsBy(first, func(m hgmember.Member) bool { return m.ID == n.cfg.Node.ID })
--- a/internal/peer/hgnode/peer.go
+++ b/internal/peer/hgnode/peer.go
@@ -35,8 +35,8 @@
 	return hginner.PresetReply{Version: n.gate.Applied(), Age: n.gate.Age(n.now())}
 }
 
-// Suspect records a request that was running when an endpoint died, or its clearing. A request that was believed
-// harmless no longer is.
+// Suspect records a request that was running when an endpoint died, or its clearing. Unless it is cleared, the request no
+// longer counts as proven harmless.
 func (p *peerHandler) Suspect(s hgquarantine.Suspect) {
 	if !s.Cleared {
 		p.turns.refute(hgquarantine.KeyOf(s.Digest))
--- a/internal/peer/hgnode/wire.go
+++ b/internal/peer/hgnode/wire.go
@@ -56,8 +56,8 @@
 	return i
 }
 
-// storePrefix names the table and the part of it in the platform's store that hold all rows of the nodes of a cell. They
-// are in one part because the nodes' transactions join rows of several shards.
+// storePrefix names the table and the partition of it in the platform's store that hold all rows of the nodes of a cell.
+// They are in one partition because the nodes' transactions join rows of several shards.
 const storePrefix = "hgown//"
 
 func newStore(i do.Injector) (hgstore.Store, error) {
--- a/internal/peer/hgpeer/backup.go
+++ b/internal/peer/hgpeer/backup.go
@@ -12,7 +12,7 @@
 	"hyssopgrade/internal/state/hgledger"
 )
 
-// maxCopies is the number of peers that hold a copy of the budget tokens taken while the store is unreachable.
+// maxCopies is the number of peers that hold a copy of a claim made while the store is unreachable.
 const maxCopies = 3
 
 // discoveryTime is the time after the start within which a node has had a heartbeat from every peer, also from those in
@@ -29,9 +29,9 @@
 // NewBackup returns a Backup that calls the peers in m through c.
 func NewBackup(m *Members, c *Client) *Backup { return &Backup{members: m, client: c} }
 
-// Ask asks all peers that may have taken part in a program whether they have. Each of these adds one to the count of
-// missing answers: a peer that does not answer, a failure domain without a known live node, a node too young to know all
-// peers, and the lack of a majority.
+// Ask asks all peers that may have taken part in a program for the claims on its budget that they know of. Each of these
+// adds one to Answers.Unanswered: a peer that does not answer, a failure domain without a known live node, a node
+// too young to know all peers, and the lack of a majority.
 func (b *Backup) Ask(ctx context.Context, q hgledger.SoleRequest) (a hgledger.Answers) {
 	if b.members.Age() < discoveryTime {
 		a.Unanswered++
@@ -54,8 +54,8 @@
 // LacksMajority reports whether this node reaches no majority of the nodes, as on the minority side of a network partition.
 func (b *Backup) LacksMajority() bool { return b.members.LacksMajority() }
 
-// RowsMayBeStale reports whether this node or a peer has recently lost the store, or has taken tokens that are not yet in a row.
-// Rows may then understate what was taken.
+// RowsMayBeStale reports whether this node or a peer has recently been without the store, or had claims that are not yet in
+// a durable row. Rows may then understate the claims.
 func (b *Backup) RowsMayBeStale() bool { return b.members.RowsMayBeStale() }
 
 // Copy sends c to up to maxCopies live peers and returns how many of them hold it. Peers of this failure domain come
--- a/internal/peer/hgpeer/claim.go
+++ b/internal/peer/hgpeer/claim.go
@@ -8,7 +8,8 @@
 	"github.com/samber/lo"
 )
 
-// Claim is a statement of one node about another: whether it is live, and its Info.
+// Claim is a statement of one node about another: whether it is live, and its Info. Claims on budgets are another thing; see
+// package hgledger.
 type Claim struct {
 	Info Info
 	Live bool
--- a/internal/peer/hgpeer/hub.go
+++ b/internal/peer/hgpeer/hub.go
@@ -8,16 +8,16 @@
 )
 
 // On large sites nodes do not exchange heartbeats with all others. A few nodes of each failure domain, its hubs, receive
-// heartbeats from all nodes of the domain; the first hubs of the domains exchange heartbeats with each other. The reply to a
-// heartbeat carries only what has changed in the hub's state, so that without changes each node handles a few small
-// messages per period, whatever the size of the site.
+// heartbeats from all nodes of the domain; the first of these, the gateway hubs, exchange heartbeats between the
+// domains. The reply to a heartbeat carries only what has changed in the hub's state, so that without changes each node
+// handles a few small messages per period, whatever the size of the site.
 
 const (
 	// maxMeshPeers is the number of peers up to which all nodes exchange heartbeats with each other.
 	maxMeshPeers = 16
 	// hubsPerDomain is the number of hubs of a failure domain.
 	hubsPerDomain = 3
-	// gatewayHubs is the number of hubs of a domain that exchange heartbeats with the hubs of other domains.
+	// gatewayHubs is the number of gateway hubs of a domain: those that exchange heartbeats with the hubs of other domains.
 	gatewayHubs = 2
 	// hubRetryPeriods is the number of periods between two attempts to use unresponsive nodes as hubs again.
 	hubRetryPeriods = 16
--- a/internal/peer/hgpeer/members.go
+++ b/internal/peer/hgpeer/members.go
@@ -58,8 +58,8 @@
 	created time.Duration
 
 	mu sync.Mutex
-	// lastOutage is when this node or a peer last was without the store, or had taken tokens that are not in a row; 0 is
-	// never.
+	// lastOutage is when this node or a peer last was without the store, or had claims on budgets that are not in a durable
+	// row; 0 is never.
 	lastOutage time.Duration
 	self       Info
 	members    map[string]*member
@@ -129,18 +129,19 @@
 	m.noteOutage(m.self)
 }
 
-// staleRowsTime is how long after the last sign of an outage the store's rows may understate the tokens taken.
+// staleRowsTime is how long after the last sign of an outage the store's rows may understate the claims on budgets.
 const staleRowsTime = 3 * time.Second
 
-// noteOutage updates lastOutage if a node is without the store or has tokens that are not in a row; m.mu is held.
+// noteOutage updates lastOutage if a node is without the store or has claims on budgets that are not in a durable row; m.mu
+// is held.
 func (m *Members) noteOutage(i Info) {
 	if i.Ready && !i.StoreOK || i.Unsaved {
 		m.lastOutage = m.timer.Now()
 	}
 }
 
-// RowsMayBeStale reports whether this node or a peer has been without the store, or has taken tokens that are not in a row, within
-// staleRowsTime.
+// RowsMayBeStale reports whether, within staleRowsTime, this node or a peer has been without the store or had claims on
+// budgets that are not in a durable row.
 func (m *Members) RowsMayBeStale() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/hgpeer/message.go
+++ b/internal/peer/hgpeer/message.go
@@ -25,7 +25,8 @@
 	Ready, Stopping bool
 	// StoreOK says that the node reaches the store.
 	StoreOK bool
-	// Unsaved says that the node has taken tokens that are not yet in a row of the store.
+	// Unsaved says that the node has claims on budgets that are not yet in a durable row, or that it has just moved an account
+	// to an alternate partition.
 	Unsaved bool
 	// KnowsAll says that the node knows all programs of its failure domain within the retention time.
 	KnowsAll bool
@@ -41,7 +42,7 @@
 	// Programs are the digests of the programs that the node has started to serve since its last heartbeat. They are sent
 	// within the failure domain only.
 	Programs []uint64
-	// Leaving are the runs of replicas that have announced that they leave but are still registered as ready.
+	// Leaving are the incarnations of replicas that have announced their leaving but are still registered as ready.
 	Leaving []hgreplica.Incarnation
 	// Suspects synchronizes the lists of requests that crash replicas.
 	Suspects hgsuspect.Exchange
@@ -72,9 +73,9 @@
 	// Open and Close open and settle a turn of a program for a peer.
 	Open(q hgledger.OpenRequest) hgledger.OpenReply
 	Close(q hgledger.CloseRequest) error
-	// Copy stores a copy of what the peer has taken of a program's budget.
+	// Copy stores a copy of the peer's claim on a program's budget.
 	Copy(c hgledger.Copy) OKReply
-	// Part returns whether this node has taken part in a program, and what it knows to be taken of the budget.
+	// Part returns the claims on a program's budget that this node knows of.
 	Part(q hgledger.SoleRequest) hgledger.SoleReply
 	// Seen returns the programs that this node knows.
 	Seen() SeenReply
--- a/internal/peer/hgpeer/places.go
+++ b/internal/peer/hgpeer/places.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// HandlePlace waits for a place for a peer's request, as the placer, and holds it until Left is called or it is overdue.
+// HandlePlace waits for a place for a peer's request, as the placer, and holds it until HandleLeave is called or it is
+// overdue.
 func (p *Places) HandlePlace(ctx context.Context, a hgplacer.PlaceRequest) PlaceReply {
 	l, v := p.placer.Place(ctx, a)
 	if v != hgplacer.Granted {
--- a/internal/peer/hgpeer/programs.go
+++ b/internal/peer/hgpeer/programs.go
@@ -37,7 +37,7 @@
 	owner, self, offline := p.members.Owner(q.Program)
 	q.Offline = offline
 	if disconnected, isSelf, ok := p.members.DisconnectedOwner(q.Program); ok && disconnected.Name != owner.Name && !q.Kept {
-		// The disconnected owner goes on with the tokens it has taken already. Turns that need more go to a node that
+		// The disconnected owner goes on with the share it has claimed already. Turns that need more go to a node that
 		// reaches the store, if there is one.
 		known := q
 		known.Offline, known.KnownOnly, known.Whole = true, true, !offline
@@ -75,8 +75,8 @@
 	}
 }
 
-// Close settles a turn at the node that opened it. If that node fails, this node's ledger closes the turn, and writes it if
-// it is to be kept.
+// Close settles a turn at the node that opened it. If that node fails, this node's ledger settles the turn, and
+// stores it if the request holds a turn to store.
 func (p *Programs) Close(ctx context.Context, owner Info, q hgledger.CloseRequest) (err error) {
 	if owner.Name == p.members.Self().Name {
 		return p.ledger.Close(ctx, q)
--- a/internal/peer/hgpeer/rpc.go
+++ b/internal/peer/hgpeer/rpc.go
@@ -47,13 +47,13 @@
 // Close settles a turn that this node opened.
 func (s service) Close(q hgledger.CloseRequest, _ *Empty) error { return s.h.Close(q) }
 
-// Copy stores a copy of what the calling node has taken of a program's budget.
+// Copy stores a copy of the calling node's claim on a program's budget.
 func (s service) Copy(c hgledger.Copy, reply *OKReply) error {
 	*reply = s.h.Copy(c)
 	return nil
 }
 
-// Part replies whether this node has taken part in a program, and with what it knows to be taken of the budget.
+// Part replies with the claims on a program's budget that this node knows of.
 func (s service) Part(q hgledger.SoleRequest, reply *hgledger.SoleReply) error {
 	*reply = s.h.Part(q)
 	return nil
@@ -229,7 +229,7 @@
 	return err
 }
 
-// Copy asks a peer to hold a copy of what this node has taken of a program's budget.
+// Copy asks a peer to hold a copy of this node's claim on a program's budget.
 func (c *Client) Copy(ctx context.Context, address string, q hgledger.Copy) (OKReply, error) {
 	return call[hgledger.Copy, OKReply](ctx, c, address, "Copy", q)
 }
@@ -239,7 +239,7 @@
 	return call[Empty, SeenReply](ctx, c, address, "Seen", Empty{})
 }
 
-// Part asks a peer whether it has taken part in a program, and what it knows to be taken of the budget.
+// Part asks a peer for the claims on a program's budget that it knows of.
 func (c *Client) Part(ctx context.Context, address string, q hgledger.SoleRequest) (hgledger.SoleReply, error) {
 	return call[hgledger.SoleRequest, hgledger.SoleReply](ctx, c, address, "Part", q)
 }
--- a/internal/state/hgfeed/feed.go
+++ b/internal/state/hgfeed/feed.go
@@ -223,7 +223,8 @@
 	return Snapshot{Rows: maps.Clone(w.snapshot.Rows), Changed: w.snapshot.Changed, Version: w.snapshot.Version}
 }
 
-// Changed returns the version of the newest change to the table, as in Copy; 0 if the table has not been read yet.
+// Changed returns the version of the newest change to the table, as in Snapshot.Changed; 0 if the table has not been read
+// yet.
 func (w *Watch) Changed() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/state/hgledger/forget.go
+++ b/internal/state/hgledger/forget.go
@@ -14,8 +14,8 @@
 const maxDeletes = 90
 
 // EvictUnused evicts programs that have not been used for the duration silent, which has to be longer than turns are
-// retained. It deletes their rows unless another ledger has served them since. It returns the number of programs
-// evicted and the number that stay because of an error.
+// retained. It deletes the rows of those whose account row it knows, unless another ledger has served them since. It
+// returns the number of programs evicted and the number that stay because of an error.
 func (l *Ledger) EvictUnused(ctx context.Context, silent time.Duration) (dropped, failed int) {
 	before := l.timer.Now() - silent
 	l.known.evict(before)
@@ -38,7 +38,8 @@
 	})
 }
 
-// removeRows deletes a program's account and turns if the account's row still has the known version.
+// removeRows deletes a program's account, and its turns in the home partition, if the account's row still has the known
+// version. It deletes nothing if this ledger knows no account row.
 func (l *Ledger) removeRows(ctx context.Context, p *program) (err error) {
 	defer func() { err = trace.Wrap(err, "remove program %s", p.id) }()
 	if !p.rowKnown || p.version == 0 {
--- a/internal/state/hgledger/known.go
+++ b/internal/state/hgledger/known.go
@@ -11,14 +11,14 @@
 	mu sync.Mutex
 	// lastSeen maps programs to the time of the last report on them.
 	lastSeen map[uint64]time.Duration
-	// unreported lists the programs that add has added since the last call of Seen, which returns them for the peers.
+	// unreported lists the programs that add has added since the last call of TakeNewPrograms.
 	unreported []uint64
 	// complete is set if all programs within the retention time are known.
 	complete bool
 }
 
-// TakeNewPrograms returns the programs that were first served here, or of which a first copy was taken, since the last call. The
-// node sends them to its peers.
+// TakeNewPrograms returns the programs that became known since the last call because this ledger reserved tokens of their
+// budgets or received a copy of a claim on them. The node sends them to its peers.
 func (l *Ledger) TakeNewPrograms() (programs []uint64) {
 	l.known.mu.Lock()
 	defer l.known.mu.Unlock()
--- a/internal/state/hgledger/row.go
+++ b/internal/state/hgledger/row.go
@@ -23,7 +23,8 @@
 	// programs.
 	ProgramTable = "hgprogram"
 	TurnTable    = "hgturn"
-	// numPartitions is the number of partitions of each table. Each applies its transactions one after another.
+	// numPartitions is the number of partitions of each table; the platform calls them parts, as the log does. Each applies
+	// its transactions one after another.
 	numPartitions = 16
 	// maxKeyID is the length of the longest escaped identifier that a key holds as it is; longer ones are replaced by a
 	// digest.
