--- a/internal/operate/hgedge/directory.go
+++ b/internal/operate/hgedge/directory.go
@@ -38,7 +38,7 @@
 }
 
 // addresses returns the public addresses for callers of a failure domain, in random order: those of the domain's own nodes
-// if at least two of them are ready, else those of all ready nodes, in each case without the weak ones (hgpeer.Strong).
+// if at least two of them are ready, else those of all ready nodes, in each case only those that hgpeer.ServingNodes returns.
 func (n *Node) addresses(domain string) []string {
 	nodes := lo.Filter(append(n.members.Live(), n.members.Self()), func(i hgpeer.Info, _ int) bool { return i.Ready && !i.Stopping })
 	if sameDomain := lo.Filter(nodes, func(i hgpeer.Info, _ int) bool { return i.Domain == domain }); len(sameDomain) > 1 {
--- a/internal/operate/hgedge/node.go
+++ b/internal/operate/hgedge/node.go
@@ -150,7 +150,8 @@
 	n.timer.Every(minRetention/4, n.evict)
 	n.timer.Every(savePeriod, n.saveBudgets)
 	n.timer.Every(suspectPeriod, n.suspects.save)
-	// A node that has run for minRetention counts as knowing all programs of its failure domain.
+	// A node that has run for minRetention counts as knowing all programs of its failure domain within the retention time
+	// (Ledger.KnownPrograms).
 	n.timer.After(minRetention, func(time.Duration) { n.ledger.AddKnownPrograms(nil, true) })
 	n.log.Info("started", "vm", n.cfg.VM.Name, "domain", n.cfg.VM.Domain, "public", n.cfg.Listen.Public, "ledger", n.ledger.String())
 	return nil
@@ -211,8 +212,8 @@
 	n.Close()
 }
 
-// returnBudgets gives back the tokens that the node has reserved from programs' budgets and not used, so that the nodes that
-// serve these programs next can use them.
+// returnBudgets gives back the unused part of the node's shares of programs' budgets, so that the nodes that serve these
+// programs next can claim it.
 func (n *Node) returnBudgets(limit time.Duration) {
 	ctx, cancel := context.WithTimeout(n.ctx, limit)
 	defer cancel()
--- a/internal/operate/hgedge/peer.go
+++ b/internal/operate/hgedge/peer.go
@@ -31,14 +31,14 @@
 // peerHandler implements hgpeer.Handler for a node.
 type peerHandler Node
 
-// Copy keeps a copy of what a peer has taken of a program's budget.
+// Copy keeps a copy of a peer's claim on a program's budget.
 func (h *peerHandler) Copy(c hgledger.Copy) hgpeer.OKReply {
 	ctx, cancel := context.WithTimeout(h.ctx, closeTimeout)
 	defer cancel()
 	return hgpeer.OKReply{OK: h.ledger.TakeCopy(ctx, c)}
 }
 
-// Part returns what this node knows to be taken of a program's budget.
+// Part returns the claims on a program's budget that this node knows of.
 func (h *peerHandler) Part(q hgledger.SoleRequest) hgledger.SoleReply {
 	ctx, cancel := context.WithTimeout(h.ctx, heartbeatTimeout)
 	defer cancel()
@@ -138,7 +138,7 @@
 	}
 }
 
-// learnPrograms passes the programs that heartbeats of peers have reported on to the ledger.
+// learnPrograms passes to the ledger the programs that peers have reported in heartbeats.
 func (n *Node) learnPrograms() {
 	if programs := n.members.TakeReceived(); len(programs) > 0 {
 		n.ledger.AddKnownPrograms(programs, false)
@@ -179,11 +179,11 @@
 	n.ledger.AddKnownPrograms(reply.Programs, reply.Complete)
 }
 
-// savePeriod is the time between two attempts to write the tokens that were taken from budgets while the store was unreachable.
+// savePeriod is the time between two attempts to write the claims on budgets that were made while the store was unreachable.
 const savePeriod = 100 * time.Millisecond
 
-// saveBudgets writes the tokens taken from budgets while the store was unreachable, once it answers again. Peers are told at
-// once when the node begins or ceases to have such unsaved tokens.
+// saveBudgets writes the claims on budgets that were made while the store was unreachable, once it answers again. Peers are told
+// at once when the node begins or ceases to have such unsaved claims.
 func (n *Node) saveBudgets(time.Duration) {
 	if unsaved := n.ledger.Unsaved(); unsaved != n.members.Self().Unsaved {
 		n.broadcastHeartbeat()
@@ -277,8 +277,8 @@
 	return lo.EveryBy(lo.Values(n.watches), func(w *hgfeed.Watch) bool { return w.Changed() > 0 })
 }
 
-// updateReady updates what this node tells peers of its state. It is ready for callers once it has a desired state and has
-// read the tables of replicas and nodes, if it reaches the store or has live peers, and while it is not stopping.
+// updateReady updates what this node tells peers of its state. The node is ready for callers if it has a desired state, has read
+// all watched tables, is not stopping, and reaches the store or has live peers.
 func (n *Node) updateReady() {
 	storeOK := n.health.ok()
 	ready := n.entry.Desired() != nil && n.knowsTables() && !n.stopping.Load()
--- a/internal/operate/hgedge/suspect.go
+++ b/internal/operate/hgedge/suspect.go
@@ -19,7 +19,7 @@
 const (
 	// suspectPrefix begins the keys of rows of suspects. They are kept in nodeTable, as all entry VMs watch it.
 	suspectPrefix = nodeTable + "//suspect-"
-	// minBroadcastInterval is the least time between two rounds of heartbeats sent early because of a break.
+	// minBroadcastInterval is the least time between two rounds of heartbeats sent early because of a suspected crash.
 	minBroadcastInterval = 50 * time.Millisecond
 	// suspectPeriod is the least time between two writes of suspects by one VM, and suspectPerPeer what each peer adds to it,
 	// so that the write rate of all VMs together is bounded at any size of the site.
@@ -31,9 +31,9 @@
 
 var suspectCodec = hgcodec.JSON[hgsuspect.Row]{}
 
-// suspects shares the list of suspects, the requests during which replicas broke off, among all entry VMs. Breaks are sent
-// to peers with heartbeats, and saved in the store from a request's second break on. A node that hears no majority of the
-// nodes saves the first break too.
+// suspects shares the list of suspects among all entry VMs: the requests during which a replica's connection broke, which counts
+// as a suspected crash. Suspected crashes are sent to peers with heartbeats, and saved in the store from a request's second one
+// on. A node that reaches no majority of the nodes saves the first one too.
 type suspects struct {
 	*hgsuspect.List
 	node *Node
@@ -47,7 +47,7 @@
 	savedAt time.Duration
 }
 
-// RecordCrash counts a break and schedules a broadcast of it to peers and the store.
+// RecordCrash records a suspected crash and schedules a broadcast of it to peers and the store.
 func (s *suspects) RecordCrash(r hgsuspect.Request) {
 	s.List.RecordCrash(r)
 	if !s.scheduled.CompareAndSwap(false, true) {
@@ -61,7 +61,8 @@
 	s.node.timer.After(pause, s.broadcast)
 }
 
-// replicaEnded counts a break for each request that a replica left unanswered when it ended.
+// replicaEnded records a suspected crash for each request that a replica left unanswered when it ended or restarted without an
+// announced leaving.
 func (s *suspects) replicaEnded(id string) {
 	for _, r := range s.TakeUnanswered(id) {
 		s.node.log.Info("replica ended without answering a request", "replica", id, "digest", r.Caller)
@@ -69,7 +70,7 @@
 	}
 }
 
-// broadcast sends breaks to peers and the store. On a large site peers are told with the next regular heartbeat, as extra
+// broadcast sends suspected crashes to peers and the store. On a large site peers are told with the next regular heartbeat, as extra
 // ones from many VMs would load the hubs.
 func (s *suspects) broadcast(time.Duration) {
 	s.broadcastAt.Store(int64(s.node.timer.Now()))
--- a/internal/operate/hgexplain/explain.go
+++ b/internal/operate/hgexplain/explain.go
@@ -61,7 +61,7 @@
 	return lines, nil
 }
 
-// mentions reports whether the line is about one of the attempts or programs in ids.
+// mentions reports whether the line is about one of the attempts or programs in ids, or names one as the previous turn.
 func (l Line) mentions(ids map[string]bool) bool {
 	for _, name := range []string{"attempt", "program", "previous"} {
 		if v, ok := l.Fields[name].(string); ok && ids[v] {
