--- a/hgmember/view.go
+++ b/hgmember/view.go
@@ -152,8 +152,9 @@
 }
 
 // Dead reports whether the shards of a run of a node may be taken over. They may if another run of the node is registered or
-// heard, if its registration is gone or stale, or if the node is silent to this node and to all live peers, of which at least one
-// is in another failure domain than this node: within one domain all may be cut off from a node that is alive.
+// heard, or if its registration is gone. If the node is silent to this node, they also may if its registration is stale, or if
+// it is silent to all live peers as well and at least one of these is in another failure domain than this node: within one
+// domain all may be cut off from a node that is alive.
 func (v *View) Dead(id, run string, now time.Duration) bool {
 	if id == v.self.ID {
 		return run != v.self.Run
--- a/hgpreset/choose.go
+++ b/hgpreset/choose.go
@@ -41,7 +41,7 @@
 	return v, row.Version, err
 }
 
-// Choose puts a preset in force by compare-and-swap. A *Taken error means that another choice won the race.
+// Choose puts a preset in force by compare-and-swap. A *ConflictError means that another choice won the race.
 // If a commit fails, it may still have been applied. The log row of the version then shows whose choice was accepted; the same
 // transaction is sent again only while that row does not exist, so that no choice is accepted twice.
 func Choose(ctx context.Context, store hgstore.Table, first Version, p Preset, by string) (v Version, err error) {
--- a/hgpreset/define.go
+++ b/hgpreset/define.go
@@ -20,7 +20,7 @@
 var definitionCodec hgcodec.JSON[Preset]
 
 // Create stores a preset and replaces one of the same name. The names of shipped presets are refused with BadParameter.
-// To replace the preset in force does not change what is in force until it is chosen again.
+// Replacing the preset in force changes nothing until it is chosen again.
 func Create(ctx context.Context, store hgstore.Table, p Preset) (err error) {
 	defer func() { err = trace.Wrap(err, "create preset %q", p.Name) }()
 	if err := p.Check(); err != nil {
--- a/hgpreset/preset.go
+++ b/hgpreset/preset.go
@@ -20,11 +20,11 @@
 type Preset struct {
 	// Name identifies the preset; it is a word without '/'.
 	Name string `toml:"name" json:"name"`
-	// RoutePolicy names how a replica is chosen: score, roundRobin, leastInFlight or hashAffinity.
+	// RoutePolicy names how an endpoint is chosen: score, roundRobin, leastInFlight or hashAffinity.
 	RoutePolicy string `toml:"routePolicy" json:"routePolicy"`
 	// QueuePolicy names the order of waiting calls: leastService or arrival.
 	QueuePolicy string `toml:"queuePolicy" json:"queuePolicy"`
-	// Window is the initial limit on the calls in flight to a replica over all nodes.
+	// Window is the initial limit on the calls in flight to an endpoint over all nodes.
 	Window int `toml:"window" json:"window"`
 	// MinWindow and MaxWindow are the least and greatest window to which the limit adapts, in calls.
 	MinWindow int `toml:"minWindow" json:"minWindow"`
@@ -39,10 +39,10 @@
 	MaxNewWaitMs int `toml:"maxNewWaitMs" json:"maxNewWaitMs"`
 	// AdmitNew is whether new programs are accepted.
 	AdmitNew bool `toml:"admitNew" json:"admitNew"`
-	// RemoteDomainMs is the cost that the policy score adds to a replica in another failure domain, in milliseconds.
+	// RemoteDomainMs is the cost that the policy score adds to an endpoint in another failure domain, in milliseconds.
 	RemoteDomainMs float64 `toml:"remoteDomainMs" json:"remoteDomainMs"`
-	// RecomputeWeight multiplies the time to compute a prefix anew on another replica; greater weights keep programs on their replicas
-	// longer.
+	// RecomputeWeight multiplies the time to compute a prefix anew on another endpoint; greater weights keep programs on their
+	// endpoints longer.
 	RecomputeWeight float64 `toml:"recomputeWeight" json:"recomputeWeight"`
 	// MemoryFillPercent is the share of an engine's memory that live programs may hold before new programs wait; 0 means no limit.
 	MemoryFillPercent int `toml:"memoryFillPercent" json:"memoryFillPercent"`
--- a/hgprogram/program.go
+++ b/hgprogram/program.go
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// charge counts the tokens reserved for a dispatch whose outcome was lost as spent.
+// charge counts as spent the tokens that were reserved for a dispatch whose outcome was lost.
 func (p *program) charge(tokens uint64) {
 	p.spent += tokens
 	p.lostTokens += tokens
--- a/hgquarantine/turns.go
+++ b/hgquarantine/turns.go
@@ -43,7 +43,7 @@
 	older  map[Key]bool
 }
 
-// NewSerializer returns a Turns without running copies or proven requests.
+// NewSerializer returns a Serializer without running copies or proven requests.
 func NewSerializer() *Serializer {
 	return &Serializer{running: map[Key]run{}, proven: map[Key]bool{}}
 }
--- a/hgstore/memory.go
+++ b/hgstore/memory.go
@@ -19,7 +19,7 @@
 	DelayMs int `json:"delayMs"`
 	// LoseReplies is the number of following commits that take effect but return an error.
 	LoseReplies int `json:"loseReplies"`
-	// Silent names parts of tables, as in table/PART/key. Operations on their keys do not return until their context ends.
+	// Silent names partitions of tables, as in table/PARTITION/key. Operations on their keys do not return until their context ends.
 	Silent []string `json:"silent"`
 	// LagMs is the time by which the returned VM list is out of date, in milliseconds.
 	LagMs int `json:"lagMs"`
