--- a/internal/peer/hgpeer/members_test.go
+++ b/internal/peer/hgpeer/members_test.go
@@ -203,7 +203,7 @@
 				t.Errorf("apart %v, want %v", apart, tc.apart)
 			}
 			if m.IsMajority(tc.heard) == tc.apart {
-				t.Error("IsMajority and IsApart disagree")
+				t.Error("IsMajority and LacksMajority disagree")
 			}
 		})
 	}
--- a/internal/serve/hgplacer/placer.go
+++ b/internal/serve/hgplacer/placer.go
@@ -34,13 +34,11 @@
 }
 
 const (
-	// Window is the most requests in flight on a replica, as a multiple of its slots. It is above 1 because in the model of
-	// the engines (hgmodel) turns that queue at the replica that has their history cached do better than turns that move to
-	// an idle replica.
+	// Window is the most requests in flight on a replica, as a multiple of its slots. It is above 1 because turns that queue
+	// at the replica that has their history cached do better than turns that move to an idle replica.
 	Window = 3
 	// FullLoad is the load of a service, in requests per slot, from which new programs are refused and have to come back
-	// later. In hgmodel, limits from 1.0 to 1.2 serve the most programs; with higher ones programs in progress miss their
-	// deadlines.
+	// later. Limits from 1.0 to 1.2 serve the most programs; with higher ones programs in progress miss their deadlines.
 	FullLoad = 1.1
 	// FullLoadUrgent is the same limit for routes of priority 0, the most urgent ones.
 	FullLoadUrgent = 1.25
