--- a/internal/proof/hgcell/doc.go
+++ b/internal/proof/hgcell/doc.go
@@ -1,2 +1,2 @@
-// Package hgcell runs a whole cell in one process, with fake platform and endpoints, for demonstrations and tests.
+// Package hgcell runs a whole cell in one process, with stand-ins for the platform and the endpoints, for demonstrations and tests.
 package hgcell
--- a/internal/proof/hgmodel/placer.go
+++ b/internal/proof/hgmodel/placer.go
@@ -17,7 +17,7 @@
 	Window float64
 	// Fetch lets engines copy cached segments from each other.
 	Fetch bool
-	// Charge is the cost of a fetched token besides the time of the copy, as a time.
+	// Charge is the cost of a fetched token in addition to the time of the copy, expressed as a time.
 	Charge time.Duration
 	// Rank orders the turns in the placer's queue.
 	Rank func(t *Turn, now time.Duration) hgplacer.Rank
--- a/internal/proof/hgmodel/run.go
+++ b/internal/proof/hgmodel/run.go
@@ -106,7 +106,7 @@
 const (
 	// openMean is the mean time to open a turn at the VM that serves its program.
 	openMean = 5 * time.Millisecond
-	// persistMean is the mean time to write a persisted turn to the store.
+	// persistMean is the mean time to write a retained turn to the store.
 	persistMean = 13 * time.Millisecond
 	// returnTime is the network time of a turn to the VM and back.
 	returnTime = 2 * time.Millisecond
--- a/internal/proof/hgmodel/sites.go
+++ b/internal/proof/hgmodel/sites.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// thread returns the urgent kind of the data sheets, whose turns are persisted; the arguments are those of chat, with the
+// thread returns the urgent kind of the data sheets, whose turns are retained; the arguments are those of chat, with the
 // probability of sub-agents.
 func thread(perSecond, turns, output, objectiveFactor, fanOut float64) Kind {
 	return Kind{
--- a/internal/proof/hgmodel/workload.go
+++ b/internal/proof/hgmodel/workload.go
@@ -35,7 +35,7 @@
 	SubAgents Dist
 	// Pause is the time between two turns in milliseconds, tool calls included.
 	Pause Dist
-	// Persisted adds the time of a write to the store to each turn.
+	// Persisted marks kinds whose turns are retained, which adds the time of a write to the store to each turn.
 	Persisted bool
 }
 
--- a/internal/proof/hgproof/memory_test.go
+++ b/internal/proof/hgproof/memory_test.go
@@ -27,7 +27,7 @@
 	b.eventually("preset is in force", 10*time.Second, func() bool { return b.appliedBy(v.Number) == len(b.nodes) })
 }
 
-// cachedPrograms returns the number of programs with a prefix in an engine's cache, counted per engine.
+// cachedPrograms returns the number of cached prefixes of programs, summed over the engines.
 func (b *testBench) cachedPrograms() int {
 	return lo.SumBy(lo.Values(b.endpoints), func(e *hgstandin.Endpoint) int { return len(e.CachedTokens()) })
 }
--- a/internal/proof/hgproof/preset_test.go
+++ b/internal/proof/hgproof/preset_test.go
@@ -154,7 +154,7 @@
 }
 
 // TestNoWorkUnderUnconfirmedPreset cuts a node off from the store and from all peers, so that nothing confirms its preset. The node has to
-// stop accepting new work after the bound (4 s in these settings), and a call sent to it then may not run.
+// stop accepting new work after presetBoundMs (4 s in these settings), and a call sent to it then may not run.
 func TestNoWorkUnderUnconfirmedPreset(t *testing.T) {
 	b := newTestBench(t, testBenchOptions{nodes: 3, engines: 1, tools: 1, engine: quickEngine})
 	b.platform.Store.SetFault(hgstore.Fault{Down: true})
--- a/internal/proof/hgproof/testbench_test.go
+++ b/internal/proof/hgproof/testbench_test.go
@@ -60,7 +60,7 @@
 	exited chan error
 }
 
-// testBench is a cell of node processes, with fake platform and endpoints in the test's process.
+// testBench is a cell of node processes, with stand-ins for the platform and the endpoints in the test's process.
 type testBench struct {
 	t         *testing.T
 	platform  *hgstandin.Platform
@@ -123,7 +123,7 @@
 	return b
 }
 
-// addEndpoints starts fake endpoints of a kind and returns their settings in TOML.
+// addEndpoints starts stand-ins for endpoints of a kind and returns their settings in TOML.
 func (b *testBench) addEndpoints(kind string, n int, opts hgstandin.Options) string {
 	b.t.Helper()
 	var text strings.Builder
--- a/internal/proof/hgreplay/check.go
+++ b/internal/proof/hgreplay/check.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Undetermined returns the requests that ended with an unknown outcome although no endpoint that reports outcomes has run
-// them, and that may not run again. This happens if the owner stops between recording the intent to dispatch and the
-// dispatch. Requests in any endpoint's record are left out.
+// Undetermined returns the requests that may not run again and were refused with ReasonOutcomeLost, but are in no endpoint's
+// record. This happens if the owner stops between recording the intent to dispatch and the dispatch: no endpoint can report
+// an outcome, and the next owner can't rule out that the request was dispatched.
 func (r *Report) Undetermined(records []hgstandin.Execution) []string {
 	ran := lo.SliceToMap(records, func(x hgstandin.Execution) (string, bool) { return x.Request, true })
 	return lo.Filter(lo.Keys(r.unknown), func(id string, _ int) bool {
--- a/internal/proof/hgreplay/report.go
+++ b/internal/proof/hgreplay/report.go
@@ -30,7 +30,7 @@
 	Unused  uint64 `json:"cacheTokensUnused"`
 
 	latency *hdrhistogram.Histogram
-	// The maps are by request identifier. unknown holds the requests that were dispatched and whose outcome is unknown.
+	// The maps are by request identifier. unknown holds the requests that were refused with ReasonOutcomeLost.
 	calls    map[string]hgcall.Call
 	notRun   map[string]bool
 	answered map[string]bool
--- a/internal/proof/hgsite/leaving_test.go
+++ b/internal/proof/hgsite/leaving_test.go
@@ -49,7 +49,7 @@
 		fault   hgsite.Fault
 		// then runs after the replica has announced that it is leaving.
 		then func(t *testing.T, s *hgsite.Site)
-		// servedAgain says whether the replica gets requests after then.
+		// servedAgain says whether the replica gets requests once the function in then has run.
 		servedAgain bool
 	}{
 		"plain answer":       {"tool-0", charge, hgsite.Fault{}, noChange, false},
--- a/internal/proof/hgsite/outage_test.go
+++ b/internal/proof/hgsite/outage_test.go
@@ -30,7 +30,8 @@
 	wantStream(t, call(t, s, 1, hgsite.Turn(hgsite.ThreadPath, "q", first.ID, "x")))
 }
 
-// While the store is unreachable, programs in progress continue with the tokens that their VM has reserved before the outage.
+// While the store is unreachable, programs in progress continue with the tokens that the ledger of their owner claimed before the
+// outage.
 func TestOutageUnderWay(t *testing.T) {
 	s := newSite(t, 6)
 	const programs = 12
@@ -43,7 +44,7 @@
 	outage(s, true)
 	time.Sleep(1500 * time.Millisecond)
 	for i := range programs {
-		// VM 3 is in the failure domain of VM 0 and knows of the same reservations.
+		// VM 3 is in the failure domain of VM 0, so both send a program's turns to the same owner, whose ledger holds the share.
 		if reply := call(t, s, 3*(i%2), turn(i)); reply.Status != http.StatusOK {
 			t.Errorf("program %d: status %d: %s", i, reply.Status, reply.Body)
 		}
--- a/internal/proof/hgsoak/check.go
+++ b/internal/proof/hgsoak/check.go
@@ -86,7 +86,7 @@
 	c.violate("attempt %s: turn %s is denied", attempt, previous)
 }
 
-// UnexpectedExits is the key in Report.Counts of the processes that exited without being stopped by the soak.
+// UnexpectedExits is the key in Report.Counts for the number of processes that exited without being stopped by the soak.
 const UnexpectedExits = "own ends"
 
 // startupTime is the time within which a process reaches its main function. A signal before that ends the process, which is no
--- a/internal/proof/hgsoak/leaving.go
+++ b/internal/proof/hgsoak/leaving.go
@@ -8,8 +8,8 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// drainTime is the time after which a VM must send no more requests to a replica, counted from the first answer of the replica
-// through the VM that announced that it is leaving.
+// drainTime is the time after which a VM must send no more requests to a replica that is leaving, counted from the first answer
+// through this VM in which the replica announced it.
 const drainTime = time.Second
 
 // route records how an attempt entered the site.
@@ -21,7 +21,8 @@
 	sent time.Time
 }
 
-// recordRoute records which entry VM an attempt went through, and the time if the answer announced that the replica is leaving.
+// recordRoute records which entry VM an attempt went through and, if the answer announced that the replica is leaving, the time
+// of the answer.
 func (c *checker) recordRoute(attempt string, rt route, reply hgsite.Reply, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,8 +32,8 @@
 	}
 }
 
-// vmReplica identifies an entry VM and a replica, each between two of its starts. What the VM knows of the replica ends with
-// either.
+// vmReplica identifies one generation of an entry VM and one incarnation of a replica. What the VM knows of the replica becomes
+// void when either ends.
 type vmReplica struct {
 	vm                   int
 	generation           int64
--- a/internal/proof/hgstandin/doc.go
+++ b/internal/proof/hgstandin/doc.go
@@ -1,3 +1,3 @@
-// Package hgstandin provides fake servers for the platform, the model engines and the tool services. They inject
-// faults on demand and record the requests that they executed.
+// Package hgstandin provides stand-ins for the platform, the model engines and the tool services: fake servers that
+// inject faults on demand and record the requests that they executed.
 package hgstandin
--- a/internal/proof/hgstandin/endpoint.go
+++ b/internal/proof/hgstandin/endpoint.go
@@ -62,7 +62,7 @@
 	ChecksFencing bool
 }
 
-// Endpoint is a fake model engine and tool service on one address.
+// Endpoint is a stand-in for a model engine and a tool service on one address.
 type Endpoint struct {
 	*Server
 	opts Options
--- a/internal/proof/hgstandin/platform.go
+++ b/internal/proof/hgstandin/platform.go
@@ -7,7 +7,7 @@
 	hgplatform "hyssopgrade/platform"
 )
 
-// Platform is a fake platform: it serves an in-memory store over the platform's protocol.
+// Platform is a stand-in for the platform: it serves an in-memory store over the platform's protocol.
 type Platform struct {
 	*Server
 	// Store holds the rows and the VM list, for tests that change them or inject faults directly.
