--- a/hgmember/view_test.go
+++ b/hgmember/view_test.go
@@ -9,7 +9,7 @@
 
 var lim = Limits{Silent: 2 * time.Second, Stale: 15 * time.Second, Gone: 300 * time.Second}
 
-// TestDead checks whether node a may take over the shards of node b, if a last read the registrations at 0 s.
+// TestDead checks whether node a, which last read the registrations at 0 s, may take over the shards of node b.
 func TestDead(t *testing.T) {
 	beat := func(id string, silent ...string) Heartbeat { return Heartbeat{ID: id, Run: id + "1", Silent: silent} }
 	now := 10 * time.Second
--- a/internal/peer/hgpeer/fleet_test.go
+++ b/internal/peer/hgpeer/fleet_test.go
@@ -298,7 +298,7 @@
 }
 
 // A request that crashed replicas of three nodes must be refused by all nodes, although messages get lost, one node is down
-// meanwhile and one restarts with an empty list. A request that has since run to its end must not be refused.
+// meanwhile and one restarts with an empty list. A request that has completed since must not be refused.
 func TestFleetLearnsOfCrashingRequest(t *testing.T) {
 	const crashing, harmless = 7, 8
 	tests := map[string]struct{ size, domains int }{"small": {9, 3}, "large": {48, 3}, "very large": {300, 5}}
@@ -332,8 +332,8 @@
 	}
 }
 
-// Nodes that have been down for long and have no row in the store must be removed, hubs too. Claims that nodes repeat to each
-// other must not keep them.
+// Nodes that have been down for long and have no row in the store must be removed, hubs too. Gossip about them that the other
+// nodes repeat to each other must not keep them.
 func TestFleetForgets(t *testing.T) {
 	f := newFleet(40, 2)
 	f.converge(10 * time.Second)
--- a/internal/peer/hgpeer/members_test.go
+++ b/internal/peer/hgpeer/members_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// Only a node that has lost the store and is not stopping may be asked to go on with the tokens it has taken before.
+// Only an owner that has lost the store and is not stopping may be asked to grant tokens of the share that it claimed before.
 func TestDisconnectedOwner(t *testing.T) {
 	tests := map[string]struct {
 		change func(i hgpeer.Info) hgpeer.Info
--- a/internal/serve/hgreplica/leaving_test.go
+++ b/internal/serve/hgreplica/leaving_test.go
@@ -9,7 +9,7 @@
 	"hyssopgrade/internal/serve/hgreplica"
 )
 
-// born returns the registration of an incarnation of replica "b"; an empty start time tells no incarnations apart.
+// born returns the registration of an incarnation of replica "b". Incarnations without a start time cannot be told apart.
 func born(at string) hgreplica.Registration {
 	e := entry("b", "north")
 	e.Born = at
--- a/internal/serve/hgreplica/set_test.go
+++ b/internal/serve/hgreplica/set_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// Cached prompt tokens are fetched from the replica that has the most of them, unless running there or reading them anew
+// Cached prompt tokens are fetched from the replica that has the most of them, unless running there or computing them again
 // costs less.
 func TestFetch(t *testing.T) {
 	fetch := hgreplica.FetchCost{Setup: time.Millisecond, PerToken: time.Microsecond / 2, Charge: 10 * time.Microsecond}
--- a/internal/serve/hgsuspect/exchange_test.go
+++ b/internal/serve/hgsuspect/exchange_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// A completed run at one VM must clear the request at all VMs; only crashes after it count from then on.
+// A completion at one VM must clear the request at all VMs; only crashes after it count from then on.
 func TestProofClearsEverywhere(t *testing.T) {
 	c := &clock{now: time.Minute}
 	a, b := hgsuspect.NewList(c, hglog.Discard()), hgsuspect.NewList(c, hglog.Discard())
@@ -129,7 +129,7 @@
 	}
 }
 
-// After a loss of all lists, a list that starts empty must get from the stored rows all that the list that wrote them had.
+// After the loss of all lists, an empty list must restore from the stored rows every record that was written to them.
 func TestRowsOutliveAllLists(t *testing.T) {
 	c := &clock{now: time.Minute}
 	before := hgsuspect.NewList(c, hglog.Discard())
--- a/internal/serve/hgsuspect/list_test.go
+++ b/internal/serve/hgsuspect/list_test.go
@@ -108,7 +108,7 @@
 	return hgsuspect.Request{Content: n, Caller: 1000 + n, Service: fmt.Sprint(n)}
 }
 
-// A request that keeps completing after a crash must not cause a record to peers with each completed run.
+// A request that keeps completing after a crash must not be reported to peers again after each completion.
 func TestServedRequestIsNotToldWithEachRun(t *testing.T) {
 	c := &clock{now: time.Minute}
 	l := hgsuspect.NewList(c, hglog.Discard())
--- a/internal/serve/hgsuspect/outcomes_test.go
+++ b/internal/serve/hgsuspect/outcomes_test.go
@@ -22,7 +22,7 @@
 	}
 	tests := map[string]struct {
 		do func(l *hgsuspect.List, c *clock)
-		// caller is the caller that sends content 1 in the end.
+		// caller is the caller whose request with content 1 is checked after do.
 		caller  uint64
 		refused bool
 	}{
