--- a/cmd/hyssopgrade/entry.go
+++ b/cmd/hyssopgrade/entry.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hyssopgrade/internal/operate/hgconfig"
-	"hyssopgrade/internal/operate/hgedge"
+	"hyssopgrade/internal/operate/hgentryvm"
 	"hyssopgrade/internal/operate/hglog"
 )
 
@@ -44,7 +44,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(int64(cfg.VM.MemoryMB * (1 << 20) * memoryShare))
-	n, err := hgedge.NewNode(cfg, log)
+	n, err := hgentryvm.NewNode(cfg, log)
 	if err != nil {
 		return err
 	}
--- a/internal/operate/hgedge/directory.go
+++ b/internal/operate/hgentryvm/directory.go
@@ -1,4 +1,4 @@
-package hgedge
+package hgentryvm
 
 import (
 	"math/rand/v2"
--- a/internal/operate/hgedge/replica.go
+++ b/internal/operate/hgentryvm/replica.go
@@ -1,4 +1,4 @@
-package hgedge
+package hgentryvm
 
 import (
 	"net"
--- a/internal/peer/hgnode/cell.go
+++ b/internal/peer/hgnode/cell.go
@@ -11,7 +11,7 @@
 	"hyssopgrade/hgpreset"
 	"hyssopgrade/hgshard"
 	"hyssopgrade/hgstore"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/state/hgjournal"
 )
 
@@ -146,29 +146,29 @@
 }
 
 // heartbeat returns the heartbeat for a peer. n.mu must be held.
-func (n *Node) heartbeat(to string) hginner.Beat {
+func (n *Node) heartbeat(to string) hgnoderpc.Beat {
 	now := n.now()
-	return hginner.Beat{
+	return hgnoderpc.Beat{
 		Heartbeat: hgmember.Heartbeat{ID: n.cfg.Node.ID, Run: n.run, Draining: n.draining, Silent: n.view.Silent(now)},
 		Preset:    hgpreset.PeerStatus{Number: n.gate.Applied().Number, Age: n.gate.Age(now), StoreFailing: n.gate.StoreFailing()},
 		Stamp:     now,
 		Echo:      n.peerStamps[to].stamp,
 		EchoRun:   n.peerStamps[to].run,
-		Loads:     hginner.NewLoads(n.endpointIDs, n.sched.InFlight(), n.heldTokens),
+		Loads:     hgnoderpc.NewLoads(n.endpointIDs, n.sched.InFlight(), n.heldTokens),
 		Leaving:   lo.Keys(lo.Assign(n.leavingBySource[sourceReports], n.leavingBySource[sourceList])),
 		Shards:    n.owner.Epochs(),
 		Suspects:  n.owner.Suspects(),
 	}
 }
 
-// peerStamp is the last hginner.Beat.Stamp of a peer, with the run that sent it.
+// peerStamp is the last hgnoderpc.Beat.Stamp of a peer, with the run that sent it.
 type peerStamp struct {
 	run   string
 	stamp time.Duration
 }
 
 // applyHeartbeat processes a peer's heartbeat and reports whether the peer applies a newer preset. n.mu must be held.
-func (n *Node) applyHeartbeat(b hginner.Beat) (behind bool) {
+func (n *Node) applyHeartbeat(b hgnoderpc.Beat) (behind bool) {
 	n.view.RecordHeartbeat(b.Heartbeat, n.now())
 	n.peerStamps[b.ID] = peerStamp{run: b.Run, stamp: b.Stamp}
 	for s, epoch := range b.Shards {
@@ -221,7 +221,7 @@
 }
 
 // exchangeHeartbeatWith sends a heartbeat to a peer and processes the reply. It fetches the preset if the peer's is newer.
-func (n *Node) exchangeHeartbeatWith(m hgmember.Member, b hginner.Beat) {
+func (n *Node) exchangeHeartbeatWith(m hgmember.Member, b hgnoderpc.Beat) {
 	reply, err := n.client.Beat(m.Inner, b)
 	n.mu.Lock()
 	behind := false
--- a/internal/peer/hgnode/node.go
+++ b/internal/peer/hgnode/node.go
@@ -23,7 +23,7 @@
 	"hyssopgrade/hgtimer"
 	"hyssopgrade/internal/operate/hgconfig"
 	"hyssopgrade/internal/operate/hgmetric"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/serve/hgendpoint"
 	"hyssopgrade/internal/serve/hgfront"
 	"hyssopgrade/internal/serve/hgowner"
@@ -49,8 +49,8 @@
 	owner     *hgowner.Owner
 	committer *hgjournal.Committer
 	turns     *turns
-	client    *hginner.Client
-	inner     *hginner.Server
+	client    *hgnoderpc.Client
+	inner     *hgnoderpc.Server
 	front     *hgfront.Front
 	metrics   *hgmetric.Metrics
 
@@ -100,7 +100,7 @@
 		store:     do.MustInvoke[hgstore.Store](i),
 		endpoints: do.MustInvoke[map[string]hgendpoint.Endpoint](i),
 		sched:     do.MustInvoke[*hgsched.Scheduler](i),
-		client:    do.MustInvoke[*hginner.Client](i),
+		client:    do.MustInvoke[*hgnoderpc.Client](i),
 		metrics:   do.MustInvoke[*hgmetric.Metrics](i),
 		owners:    map[uint32]shardOwner{}, heartbeatInFlight: map[string]bool{}, peerStamps: map[string]peerStamp{},
 		leavingBySource: map[string]map[string]bool{}, leavingEndpoints: map[string]bool{},
@@ -130,7 +130,7 @@
 	if keys.Operator == "" {
 		n.log.Warn("operators' routes are open to all callers, because the settings name no operators' key")
 	}
-	n.inner, err = hginner.NewServer((*peerHandler)(n), keys.Cell, n.log)
+	n.inner, err = hgnoderpc.NewServer((*peerHandler)(n), keys.Cell, n.log)
 	return n, err
 }
 
--- a/internal/peer/hgnode/peer.go
+++ b/internal/peer/hgnode/peer.go
@@ -7,16 +7,16 @@
 
 	"hyssopgrade/hgcall"
 	"hyssopgrade/hgquarantine"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/serve/hgowner"
 )
 
-// peerHandler is the node's side of the messages between nodes: it answers peers as hginner.Node, and sends suspects and
+// peerHandler is the node's side of the messages between nodes: it answers peers as hgnoderpc.Node, and sends suspects and
 // turns to them as hgowner.Sharer and hgowner.Turns.
 type peerHandler Node
 
 // Beat processes a peer's heartbeat and returns this node's. It fetches the preset if the peer's is newer.
-func (p *peerHandler) Beat(b hginner.Beat) hginner.Beat {
+func (p *peerHandler) Beat(b hgnoderpc.Beat) hgnoderpc.Beat {
 	n := (*Node)(p)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -28,11 +28,11 @@
 }
 
 // Preset returns the version of the preset that the node applies, and the time since it was last known to be the newest.
-func (p *peerHandler) Preset() hginner.PresetReply {
+func (p *peerHandler) Preset() hgnoderpc.PresetReply {
 	n := (*Node)(p)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return hginner.PresetReply{Version: n.gate.Applied(), Age: n.gate.Age(n.now())}
+	return hgnoderpc.PresetReply{Version: n.gate.Applied(), Age: n.gate.Age(n.now())}
 }
 
 // Suspect records a request that was running when an endpoint died, or its clearing. Unless it is cleared, the request no
@@ -67,7 +67,7 @@
 }
 
 // Query returns the status or the history of a program of a shard that this node owns.
-func (p *peerHandler) Query(q hginner.Query) (a hginner.Answer, err error) {
+func (p *peerHandler) Query(q hgnoderpc.Query) (a hgnoderpc.Answer, err error) {
 	if q.History {
 		a.History, err = p.owner.History(q.Program)
 		return a, err
--- a/internal/peer/hgnode/serve.go
+++ b/internal/peer/hgnode/serve.go
@@ -8,7 +8,7 @@
 	"hyssopgrade/hgcall"
 	"hyssopgrade/hgmember"
 	"hyssopgrade/hgshard"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/serve/hgowner"
 )
 
@@ -159,7 +159,7 @@
 
 // Status returns a program's status from the owner of its shard.
 func (n *Node) Status(ctx context.Context, program string) (s hgowner.ProgramStatus, err error) {
-	a, err := n.query(ctx, hginner.Query{Program: program})
+	a, err := n.query(ctx, hgnoderpc.Query{Program: program})
 	if err != nil {
 		return s, err
 	}
@@ -168,11 +168,11 @@
 
 // History returns a program's conversation from the owner of its shard.
 func (n *Node) History(ctx context.Context, program string) (ms []hgcall.Message, err error) {
-	a, err := n.query(ctx, hginner.Query{Program: program, History: true})
+	a, err := n.query(ctx, hgnoderpc.Query{Program: program, History: true})
 	return a.History, err
 }
 
-func (n *Node) query(ctx context.Context, q hginner.Query) (a hginner.Answer, err error) {
+func (n *Node) query(ctx context.Context, q hgnoderpc.Query) (a hgnoderpc.Answer, err error) {
 	err = n.runOnOwner(ctx, ownerTask{
 		program: q.Program,
 		local: func() (err error) {
--- a/internal/peer/hgnode/turn.go
+++ b/internal/peer/hgnode/turn.go
@@ -8,7 +8,7 @@
 	"hyssopgrade/hgquarantine"
 	"hyssopgrade/hgshard"
 	"hyssopgrade/hgtimer"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 )
 
 // turnTimeout is the timeout of asking for a turn; without a reply in time the copy runs.
@@ -79,7 +79,7 @@
 	}
 	answer := make(chan bool, 1)
 	n.background(func() {
-		ok, err := n.client.EnterTurn(coordinator.Inner, hginner.Turn{Key: k, Holder: h})
+		ok, err := n.client.EnterTurn(coordinator.Inner, hgnoderpc.Turn{Key: k, Holder: h})
 		if err != nil {
 			n.log.Warn("turn coordinator did not reply, the copy runs", "digest", digest, "keeper", coordinator.ID, "err", err)
 		}
@@ -103,11 +103,11 @@
 	if alreadyProven || coordinator.ID == n.cfg.Node.ID {
 		return
 	}
-	n.background(func() { _ = n.client.LeaveTurn(coordinator.Inner, hginner.Turn{Key: k, Holder: h, Proven: proven}) })
+	n.background(func() { _ = n.client.LeaveTurn(coordinator.Inner, hgnoderpc.Turn{Key: k, Holder: h, Proven: proven}) })
 }
 
 // EnterTurn reports whether a peer's copy of a request may run now.
-func (p *peerHandler) EnterTurn(t hginner.Turn) (ok bool) { return p.turns.enter(t.Key, t.Holder) }
+func (p *peerHandler) EnterTurn(t hgnoderpc.Turn) (ok bool) { return p.turns.enter(t.Key, t.Holder) }
 
 // LeaveTurn ends the turn of a peer's copy.
-func (p *peerHandler) LeaveTurn(t hginner.Turn) { p.turns.leave(t.Key, t.Holder, t.Proven) }
+func (p *peerHandler) LeaveTurn(t hgnoderpc.Turn) { p.turns.leave(t.Key, t.Holder, t.Proven) }
--- a/internal/peer/hgnode/wire.go
+++ b/internal/peer/hgnode/wire.go
@@ -12,7 +12,7 @@
 	"hyssopgrade/hgtimer"
 	"hyssopgrade/internal/operate/hgconfig"
 	"hyssopgrade/internal/operate/hgmetric"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/serve/hgendpoint"
 	"hyssopgrade/internal/serve/hgsched"
 	hgplatform "hyssopgrade/platform"
@@ -38,7 +38,7 @@
 type BuildInfo struct{ Version string }
 
 // NewInjector returns an injector with the services of a node. Before the node is made, tests may override services, or provide a
-// hginner.Dial by which the node then connects to its peers.
+// hgnoderpc.Dial by which the node then connects to its peers.
 func NewInjector(cfg hgconfig.Config, keys Keys, log *slog.Logger, rel BuildInfo) *do.RootScope {
 	i := do.New()
 	do.ProvideValue(i, cfg)
@@ -83,9 +83,9 @@
 		hgsched.WithLog(do.MustInvoke[*slog.Logger](i)), hgsched.WithNow(timer.Now), hgsched.WithSubset(cfg.Limits.Subset)), nil
 }
 
-func newClient(i do.Injector) (*hginner.Client, error) {
+func newClient(i do.Injector) (*hgnoderpc.Client, error) {
 	cfg := do.MustInvoke[hgconfig.Config](i)
 	timeout := hgconfig.Milliseconds(cfg.Limits.SilentMs) / 2
-	dial, _ := do.Invoke[hginner.Dial](i)
-	return hginner.NewClient(do.MustInvoke[Keys](i).Cell, do.MustInvoke[*hgtimer.Service](i), timeout, dial), nil
+	dial, _ := do.Invoke[hgnoderpc.Dial](i)
+	return hgnoderpc.NewClient(do.MustInvoke[Keys](i).Cell, do.MustInvoke[*hgtimer.Service](i), timeout, dial), nil
 }
--- a/internal/peer/hginner/message.go
+++ b/internal/peer/hgnoderpc/message.go
@@ -1,4 +1,4 @@
-package hginner
+package hgnoderpc
 
 import (
 	"math"
--- a/internal/proof/hgbench/slope_test.go
+++ b/internal/proof/hgbench/slope_test.go
@@ -17,7 +17,7 @@
 	"hyssopgrade/hgprogram"
 	"hyssopgrade/hgquarantine"
 	"hyssopgrade/hgstore"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/state/hgjournal"
 )
 
@@ -50,14 +50,14 @@
 }
 
 // newBeat returns the heartbeat of a node in a cell of the given number of nodes, with five replicas per node.
-func newBeat(nodes, shards int) hginner.Beat {
+func newBeat(nodes, shards int) hgnoderpc.Beat {
 	names, calls, held := []string{}, map[string]int{}, map[string]int{}
 	for i := range 5 * nodes {
 		id := fmt.Sprintf("engine-%03d", i)
 		names = append(names, id)
 		calls[id], held[id] = 3+i%7, 50_000+i*977
 	}
-	b := hginner.Beat{Shards: map[uint32]uint64{}, Loads: hginner.NewLoads(names, calls, held), Stamp: time.Hour, Echo: time.Hour}
+	b := hgnoderpc.Beat{Shards: map[uint32]uint64{}, Loads: hgnoderpc.NewLoads(names, calls, held), Stamp: time.Hour, Echo: time.Hour}
 	b.ID, b.Run, b.EchoRun = "node-000", "node-000-6a8f1f0e0000", "node-001-6a8f1f0e0000"
 	for i := range shards / nodes {
 		b.Shards[uint32(i*nodes)] = uint64(100 + i)
@@ -82,7 +82,7 @@
 			if i > 0 {
 				size = buf.Len()
 			}
-			var got hginner.Beat
+			var got hgnoderpc.Beat
 			if err := dec.Decode(&got); err != nil {
 				t.Fatal(err)
 			}
@@ -221,15 +221,15 @@
 			if i == 1 {
 				size = buf.Len()
 			}
-			turn := hginner.Turn{
+			turn := hgnoderpc.Turn{
 				Key:    hgquarantine.KeyOf(fmt.Sprint("content", i)),
 				Holder: hgquarantine.HolderOf("node-000-6a8f1f0e0000", fmt.Sprint("permit-", i), "r"),
 			}
 			for _, v := range []any{
 				rpc.Request{ServiceMethod: "Inner.Enter", Seq: uint64(2 * i)}, turn,
-				rpc.Response{ServiceMethod: "Inner.Enter", Seq: uint64(2 * i)}, hginner.TurnReply{OK: true},
+				rpc.Response{ServiceMethod: "Inner.Enter", Seq: uint64(2 * i)}, hgnoderpc.TurnReply{OK: true},
 				rpc.Request{ServiceMethod: "Inner.Leave", Seq: uint64(2*i + 1)}, turn,
-				rpc.Response{ServiceMethod: "Inner.Leave", Seq: uint64(2*i + 1)}, hginner.Empty{},
+				rpc.Response{ServiceMethod: "Inner.Leave", Seq: uint64(2*i + 1)}, hgnoderpc.Empty{},
 			} {
 				if err := enc.Encode(v); err != nil {
 					t.Fatal(err)
--- a/internal/proof/hgcell/cell.go
+++ b/internal/proof/hgcell/cell.go
@@ -14,8 +14,8 @@
 	"github.com/samber/lo"
 
 	"hyssopgrade/internal/operate/hgconfig"
-	"hyssopgrade/internal/peer/hginner"
 	"hyssopgrade/internal/peer/hgnode"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/proof/hgreplay"
 	"hyssopgrade/internal/proof/hgstandin"
 	"hyssopgrade/internal/serve/hgcaller"
@@ -39,7 +39,7 @@
 	// EditConfig changes a node's settings before the node starts. It may be nil.
 	EditConfig func(cfg *hgconfig.Config)
 	// Dial returns the function that a node uses to connect to its peers. If nil, nodes connect over TCP as in production.
-	Dial func(node string) hginner.Dial
+	Dial func(node string) hgnoderpc.Dial
 }
 
 // Cell is a running cell in this process.
--- a/internal/proof/hgproof/cut_test.go
+++ b/internal/proof/hgproof/cut_test.go
@@ -17,7 +17,7 @@
 	"hyssopgrade/hgshard"
 	"hyssopgrade/internal/operate/hgconfig"
 	"hyssopgrade/internal/operate/hglog"
-	"hyssopgrade/internal/peer/hginner"
+	"hyssopgrade/internal/peer/hgnoderpc"
 	"hyssopgrade/internal/proof/hgcell"
 	"hyssopgrade/internal/proof/hgreplay"
 	"hyssopgrade/internal/proof/hgstandin"
@@ -57,7 +57,7 @@
 }
 
 // dial returns the function by which a node connects to its peers.
-func (n *faultyNetwork) dial(from string) hginner.Dial {
+func (n *faultyNetwork) dial(from string) hgnoderpc.Dial {
 	return func(ctx context.Context, proto, address string) (net.Conn, error) {
 		if n.partitioned(from, address) {
 			return nil, errPartitioned
--- a/internal/proof/hgsite/site.go
+++ b/internal/proof/hgsite/site.go
@@ -14,7 +14,7 @@
 
 	"hyssopgrade/hgstore"
 	"hyssopgrade/internal/operate/hgconfig"
-	"hyssopgrade/internal/operate/hgedge"
+	"hyssopgrade/internal/operate/hgentryvm"
 	"hyssopgrade/internal/operate/hglog"
 	"hyssopgrade/internal/serve/hgdesired"
 	"hyssopgrade/internal/serve/hgreplica"
@@ -45,7 +45,7 @@
 type Site struct {
 	Store        *hgstore.Memory
 	Replicas     map[string]*Replica
-	Nodes        []*hgedge.Node
+	Nodes        []*hgentryvm.Node
 	Configs      []hgconfig.EntryConfig
 	storeAddress string
 	store        *http.Server
@@ -190,7 +190,7 @@
 
 // StartNode starts an entry VM that is not running, with its current settings.
 func (s *Site) StartNode(i int) (err error) {
-	n, err := hgedge.NewNode(s.Configs[i], s.log.With("vm", s.Configs[i].VM.Name))
+	n, err := hgentryvm.NewNode(s.Configs[i], s.log.With("vm", s.Configs[i].VM.Name))
 	if err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 func (s *Site) WaitReady(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
-		if lo.EveryBy(s.Nodes, func(n *hgedge.Node) bool { return n.Ready(len(s.Nodes) - 1) }) {
+		if lo.EveryBy(s.Nodes, func(n *hgentryvm.Node) bool { return n.Ready(len(s.Nodes) - 1) }) {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -90,7 +90,7 @@
 red entryForged TestForgedHeaders internal/proof/hgsite \
   platform/request.go 's/h\.Del\(name\)/_ = name/'
 red entryStop TestGracefulStop internal/proof/hgsite \
-  internal/operate/hgedge/node.go 's/time\.Sleep\(leave - \(n\.timer\.Now\(\) - began\)\)/n.Close()/'
+  internal/operate/hgentryvm/node.go 's/time\.Sleep\(leave - \(n\.timer\.Now\(\) - began\)\)/n.Close()/'
 red ledgerVersion TestBudgetHolds internal/state/hgledger \
   internal/state/hgledger/row.go 's/conditions: \[\]hgstore\.Condition\{\{Key: key, Version: p\.version\}\},//'
 red ledgerUnwritten TestBudgetHolds internal/state/hgledger \
@@ -109,13 +109,13 @@
 red crashExchange TestFleetLearnsOfCrashingRequest internal/peer/hgpeer \
   internal/serve/hgsuspect/exchange.go 's/if offer\.Print != l\.fingerprint \{/if false {/'
 red crashRows TestCrashingRequestOverTotalLoss internal/proof/hgsite \
-  internal/operate/hgedge/suspect.go 's/s\.Load\(records\)/_ = records/'
+  internal/operate/hgentryvm/suspect.go 's/s\.Load\(records\)/_ = records/'
 red crashCaller TestOtherRequestsServedBesideCrashingRequest internal/proof/hgsite \
   internal/serve/hgsuspect/request.go 's/return \[\]uint64\{r\.Content, r\.Caller\}/return []uint64{r.Content}/'
 red crashAgain TestCrashingCopiesUnderWayAreCheckedAgain internal/proof/hgsite \
   internal/serve/hgentry/send.go 's/refused := x\.entry\.suspects\.Refused\(x\.digests\); refused/refused := x.entry.suspects.Refused(x.digests); refused \&\& false/'
 red crashSilent TestCrashingRequestThatEndsReplicasSilently internal/proof/hgsite \
-  internal/operate/hgedge/node.go 's/n\.replicas\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
+  internal/operate/hgentryvm/node.go 's/n\.replicas\.OnEnd\(n\.suspects\.replicaEnded\)\n//'
 red silentPeers TestMembers internal/peer/hgpeer \
   internal/peer/hgpeer/members.go 's/limit := participantTimeout/limit := maxMissedBeats * remoteBeatPeriods * m.period()/'
 red saysLeaving TestLeavingReplicaSaysSoInAnswers internal/proof/hgsite \
